--- a/crates/ebonystand/tests/integration/vm.rs
+++ b/crates/ebonystand/tests/integration/vm.rs
@@ -17,6 +17,7 @@
     child: Option<Child>,
     dir: PathBuf,
     pub(crate) name: String,
+    starts: usize,
 }
 
 /// Where it listens.
@@ -58,6 +59,7 @@
             child: None,
             dir: dir.into(),
             name,
+            starts: 0,
         };
         fs::write(vm.file("json"), settings.to_string()).unwrap();
         vm.restart();
@@ -90,7 +92,7 @@
             .create(true)
             .open(self.file("log"))
             .unwrap();
-        let child = Command::new(env!("CARGO_BIN_EXE_ebonystand"))
+        let child = Command::new(self.program())
             .arg("run")
             .arg("--addresses")
             .arg(&addresses)
@@ -100,6 +102,7 @@
             .spawn()
             .unwrap();
         self.child = Some(child);
+        self.starts += 1;
         for _ in 0..2_000 {
             let text = fs::read_to_string(&addresses).unwrap_or_default();
             if let Ok(found) = serde_json::from_str(&text) {
@@ -178,6 +181,21 @@
         child.wait().unwrap().success()
     }
 
+    /// Program of the next start: the one under test, or in turn with it the older build that
+    /// `EBONYSTAND_OLDER_BUILD` names, so that neighbouring VMs differ and each restart reads what the other wrote.
+    fn program(&self) -> PathBuf {
+        let current = PathBuf::from(env!("CARGO_BIN_EXE_ebonystand"));
+        let Some(older) = std::env::var_os("EBONYSTAND_OLDER_BUILD") else {
+            return current;
+        };
+        let first = std::env::var_os("EBONYSTAND_OLDER_BUILD_FIRST").is_some();
+        let vm = self.name.trim_start_matches("vm").parse().unwrap_or(0);
+        match (usize::from(first) + vm + self.starts) % 2 {
+            0 => current,
+            _ => older.into(),
+        }
+    }
+
     fn file(&self, kind: &str) -> PathBuf {
         self.dir.join(format!("{}.{kind}", self.name))
     }
