--- a/crates/ebonystand-core/benches/allowance.rs
+++ b/crates/ebonystand-core/benches/allowance.rs
@@ -110,7 +110,7 @@
             "{workspaces} in use: {held} B each on both, [holder, borrower] messages {counts:?}/s, {bytes:?} B/s"
         );
     }
-    println!("renewal at multiples of {:?}", LeaseTerms::RENEWAL);
+    println!("renewal at multiples of {:?}", LeaseTerms::RENEWAL_INTERVAL);
 }
 
 criterion_group!(benches, admit, messages);
--- a/crates/ebonystand-core/src/allowance/allowance_configure.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_configure.rs
@@ -94,7 +94,7 @@
                 continue;
             };
             let refill = time_for(plan.whole.capacity, plan.whole.rate);
-            let until = now + refill.max(LeaseTerms::HANDOVER);
+            let until = now + refill.max(LeaseTerms::HANDOVER_DELAY);
             self.removed.insert(id.clone(), until);
             if let Some(mut share) = self.shares.remove(&id) {
                 share.give_all_back(now, &mut self.cx);
--- a/crates/ebonystand-core/src/allowance/allowance_plan.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_plan.rs
@@ -52,7 +52,7 @@
         let level = self.level(now, ready);
         let interim = self.settled_part(now).min(newer.own);
         if self.structure != newer.structure {
-            let until = now + LeaseTerms::HANDOVER;
+            let until = now + LeaseTerms::HANDOVER_DELAY;
             self.handover = Some(Box::new(Handover { interim, until }));
         } else if let Some(handover) = &mut self.handover {
             handover.interim = handover.interim.min(newer.own);
--- a/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
@@ -149,7 +149,7 @@
             .iter_mut()
             .filter(|lease| lease.renew_at <= now)
         {
-            lease.renew_at = now + LeaseTerms::RENEWAL;
+            lease.renew_at = now + LeaseTerms::RENEWAL_INTERVAL;
             due.entry(lease.lender.clone())
                 .or_default()
                 .push(LeaseHold {
--- a/crates/ebonystand-core/src/allowance/state.rs
+++ b/crates/ebonystand-core/src/allowance/state.rs
@@ -83,7 +83,11 @@
 
     /// Notes that the configuration held here was the newest at `asked`. A VM that was frozen before
     /// has missed nothing then, and uses its parts again.
-    pub fn confirm(&mut self, now: Duration, asked: Duration) -> Vec<AllowanceOutput> {
+    pub fn confirm_configuration(
+        &mut self,
+        now: Duration,
+        asked: Duration,
+    ) -> Vec<AllowanceOutput> {
         self.notice(now);
         if self.thawed.take_if(|thawed| *thawed <= asked).is_none() {
             return Vec::new();
--- a/crates/ebonystand-core/src/borrowed_lease.rs
+++ b/crates/ebonystand-core/src/borrowed_lease.rs
@@ -44,7 +44,7 @@
     /// When to renew a lease that was asked for at `asked_at`: early enough
     /// that an ask may be lost, at a moment that all workspaces share.
     pub(crate) fn renewal(asked_at: Duration) -> Duration {
-        let step = LeaseTerms::RENEWAL.as_nanos();
+        let step = LeaseTerms::RENEWAL_INTERVAL.as_nanos();
         let due = (asked_at + LeaseTerms::RENEWED).as_nanos().div_ceil(step) * step;
         Duration::from_nanos(u64::try_from(due).unwrap_or(u64::MAX))
     }
--- a/crates/ebonystand-core/src/fleet_share.rs
+++ b/crates/ebonystand-core/src/fleet_load_factor.rs
@@ -5,14 +5,14 @@
 /// Counting each own dispatch as many times as the fleet sends requests makes each VM plan for
 /// the others, which do the same.
 #[derive(Clone, Debug)]
-pub(crate) struct FleetShare {
+pub(crate) struct FleetLoadFactor {
     cautious: f64,
     factor: f64,
     own: f64,
     reported: f64,
 }
 
-impl FleetShare {
+impl FleetLoadFactor {
     /// Exponent of the cautious estimate.
     const CAUTION: f64 = 0.75;
     /// Weight of the past against one new report.
@@ -26,7 +26,7 @@
     ///
     /// Own dispatches are few, and so uneven that with the full estimate one request in six was
     /// sent away on an ordinary day.
-    pub(crate) fn cautious(&self) -> f64 {
+    pub(crate) fn cautious_factor(&self) -> f64 {
         self.cautious
     }
 
@@ -34,7 +34,7 @@
         self.factor
     }
 
-    pub(crate) fn observe(&mut self, own: u32, reported: u32) {
+    pub(crate) fn record_report(&mut self, own: u32, reported: u32) {
         self.own = self.own * Self::DECAY + f64::from(own);
         self.reported = self.reported * Self::DECAY + f64::from(reported.max(own));
         self.factor = match self.reported < Self::SEEN {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Default for FleetShare {
+impl Default for FleetLoadFactor {
     fn default() -> Self {
         Self {
             cautious: 1.0,
--- a/crates/ebonystand-core/src/gateway/holder_plan.rs
+++ b/crates/ebonystand-core/src/gateway/holder_plan.rs
@@ -18,7 +18,7 @@
     const MEGABITS: u64 = 100;
 
     /// Regions with their holders. A region keeps its holders while one of them is live: a part
-    /// that moves rests for [`LeaseTerms::HANDOVER`], in which its tokens are missing.
+    /// that moves rests for [`LeaseTerms::HANDOVER_DELAY`], in which its tokens are missing.
     #[must_use]
     pub fn regions(&self) -> BTreeMap<RegionId, Region> {
         let regions = self.regions.iter();
--- a/crates/ebonystand-core/src/gateway/stream_pace.rs
+++ b/crates/ebonystand-core/src/gateway/stream_pace.rs
@@ -18,7 +18,7 @@
 
     /// Notes the time between two events of a stream.
     pub(crate) fn note(&mut self, now: Duration, gap: Duration) {
-        self.gap.sample(now, gap.as_secs_f64(), Self::SMOOTHING);
+        self.gap.add_sample(now, gap.as_secs_f64(), Self::SMOOTHING);
         self.seen = now;
     }
 
--- a/crates/ebonystand-core/src/lease_terms.rs
+++ b/crates/ebonystand-core/src/lease_terms.rs
@@ -14,7 +14,7 @@
     /// Wait before a VM uses a part that the configuration moved to it. Until then its former
     /// holder may act on an older version: one that skips a version adopts the next one at most
     /// [`Self::ADOPTION`] after its turn, and its leases last [`Self::HOLD`] longer.
-    pub const HANDOVER: Duration = Duration::from_millis(
+    pub const HANDOVER_DELAY: Duration = Duration::from_millis(
         2 * Self::ADOPTION.as_millis() as u64 + Self::HOLD.as_millis() as u64,
     );
     /// Time from a claim, on the claimant's clock, for which what it was granted may be spent: two round
@@ -37,7 +37,7 @@
     /// Time from an ask to the renewal, so that one may be lost.
     pub(crate) const RENEWED: Duration = Duration::from_millis(500);
     /// Renewals of all workspaces happen at multiples of it, so that they share messages.
-    pub const RENEWAL: Duration = Duration::from_millis(500);
+    pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
     /// Time for an answer beyond the delay of the links.
     pub(crate) const ANSWER: Duration = Duration::from_millis(20);
     /// A workspace not used for longer gives its leases back and is dropped from memory. Well within
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -18,7 +18,7 @@
     event_scanner::EventScanner,
     feed_peers::FeedPeers,
     fleet::Fleet,
-    fleet_share::FleetShare,
+    fleet_load_factor::FleetLoadFactor,
     handover::Handover,
     held_message::HeldMessage,
     lent_lease::LentLease,
@@ -232,7 +232,7 @@
 mod feed_peers;
 mod fence;
 mod fleet;
-mod fleet_share;
+mod fleet_load_factor;
 mod gateway;
 mod group_member_status;
 mod group_status;
--- a/crates/ebonystand-core/src/link_budget.rs
+++ b/crates/ebonystand-core/src/link_budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Counts bytes that are sent whatever the budget says: control and requests that were
-    /// admitted. The deficit shows in [`Self::wait`].
+    /// admitted. The deficit shows in [`Self::time_until_available`].
     pub fn charge(&mut self, now: Duration, bytes: u64) {
         self.level = (self.level_at(now) - bytes as f64).max(-self.bytes_per_s);
         self.updated = now;
@@ -66,7 +66,7 @@
 
     /// Time until the class may have sent that many bytes.
     #[must_use]
-    pub fn wait(&self, now: Duration, class: TrafficClass, bytes: u64) -> Duration {
+    pub fn time_until_available(&self, now: Duration, class: TrafficClass, bytes: u64) -> Duration {
         let floor = self.bytes_per_s * class.floor_permille() as f64 / 1_000.0;
         let missing = bytes as f64 + floor - self.level_at(now);
         Duration::from_secs_f64((missing / self.bytes_per_s).max(0.0))
--- a/crates/ebonystand-core/src/link_budgets.rs
+++ b/crates/ebonystand-core/src/link_budgets.rs
@@ -44,7 +44,7 @@
         self.budgets.get_mut(region as usize)?.1.as_mut()
     }
 
-    pub(crate) fn share(&mut self, vms: u32) {
+    pub(crate) fn set_sharing_vms(&mut self, vms: u32) {
         self.vms = vms;
     }
 }
--- a/crates/ebonystand-core/src/log_budget.rs
+++ b/crates/ebonystand-core/src/log_budget.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogKind {
     /// Something that belongs to no request: a belief of the VM, a start, a stop.
-    Belief,
+    Vm,
     /// That a request failed or was refused, and why.
-    Failure,
+    RequestFailure,
     /// A step of a request.
-    Step,
+    RequestStep,
 }
 
 impl LogBudget {
@@ -34,15 +34,15 @@
     const MOST: u64 = 4;
 
     /// Whether a line is written. `request` is the hash of the request's name.
-    pub fn admit(&mut self, now: Duration, kind: LogKind, request: u64) -> bool {
+    pub fn admit_line(&mut self, now: Duration, kind: LogKind, request: u64) -> bool {
         self.turn(now);
         self.offered += 1;
         let most = match kind {
-            LogKind::Belief => self.per_s * Self::MOST,
-            LogKind::Failure => self.per_s * Self::FAILURES,
-            LogKind::Step => self.per_s,
+            LogKind::Vm => self.per_s * Self::MOST,
+            LogKind::RequestFailure => self.per_s * Self::FAILURES,
+            LogKind::RequestStep => self.per_s,
         };
-        let chosen = kind != LogKind::Step || request <= self.threshold;
+        let chosen = kind != LogKind::RequestStep || request <= self.threshold;
         let admitted = chosen && self.kept < most;
         if admitted {
             self.kept += 1;
--- a/crates/ebonystand-core/src/placement/state.rs
+++ b/crates/ebonystand-core/src/placement/state.rs
@@ -45,10 +45,11 @@
 
     /// Takes a sample of what callers ask of a model over the region, in tokens a second.
     pub fn demand(&mut self, now: Duration, model: &ModelId, rate: f64) {
-        self.demand
-            .entry(model.clone())
-            .or_default()
-            .sample(now, rate, self.settings.smoothing);
+        self.demand.entry(model.clone()).or_default().add_sample(
+            now,
+            rate,
+            self.settings.smoothing,
+        );
     }
 
     /// Smoothed demand of a model, in tokens a second.
--- a/crates/ebonystand-core/src/retry_budget.rs
+++ b/crates/ebonystand-core/src/retry_budget.rs
@@ -24,7 +24,7 @@
 
 impl RetryBudget {
     /// Retries that a VM may make in a window however few requests it has.
-    pub const FEWEST: u64 = 3;
+    pub const MIN_RETRIES: u64 = 3;
     /// Span that the bound holds for.
     pub const WINDOW: Duration = Duration::from_secs(10);
     /// Time for which a retry counts beyond the window: it reaches its upstream later than it is
@@ -34,7 +34,7 @@
     const PART: Duration = Duration::from_millis(500);
 
     /// Counts a request of a caller.
-    pub fn on_request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.part(now).requests += 1;
     }
 
@@ -59,7 +59,7 @@
         let requests = self.parts.iter().filter(since(Self::WINDOW));
         let requests = requests.map(|part| part.requests).sum::<u64>();
         let allowed = requests * preset.retry_budget_permille / 1_000;
-        if retries >= allowed.max(Self::FEWEST) {
+        if retries >= allowed.max(Self::MIN_RETRIES) {
             return false;
         }
         self.part(now).retries += 1;
--- a/crates/ebonystand-core/src/retryable.rs
+++ b/crates/ebonystand-core/src/retryable.rs
@@ -14,7 +14,7 @@
     /// `sent` says whether a byte of it may have left the VM, `relayed` whether a byte of an
     /// answer has reached the caller.
     #[must_use]
-    pub fn of(once: bool, sent: bool, relayed: bool) -> Self {
+    pub fn classify(once: bool, sent: bool, relayed: bool) -> Self {
         match (relayed, sent, once) {
             (true, _, _) | (false, true, true) => Self::Never,
             (false, false, _) => Self::NotStarted,
--- a/crates/ebonystand-core/src/router.rs
+++ b/crates/ebonystand-core/src/router.rs
@@ -19,7 +19,7 @@
     picks: Vec<Pick>,
     preset: Preset,
     rng: Pcg64Mcg,
-    share: FleetShare,
+    share: FleetLoadFactor,
     version: Option<Version>,
 }
 
@@ -46,7 +46,7 @@
             picks: Vec::new(),
             preset: Preset::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            share: FleetShare::default(),
+            share: FleetLoadFactor::default(),
             version: None,
         }
     }
@@ -136,7 +136,7 @@
             state.became_cold(now);
         }
         let own = state.load.in_flight();
-        self.share.observe(own, state.load.requests());
+        self.share.record_report(own, state.load.requests());
     }
 
     /// Chooses an upstream.
@@ -174,7 +174,7 @@
     /// Tells how many VMs of the region share its links; a budget counts from the next document
     /// on.
     pub fn share_links(&mut self, vms: u32) {
-        self.links.share(vms);
+        self.links.set_sharing_vms(vms);
     }
 
     /// Dispatches that this VM should have under way at a time for a target: its share of the
@@ -294,7 +294,7 @@
         }
         let link = self.links.get(state.region)?;
         let bytes = query.work() * Self::BYTES_PER_TOKEN;
-        let wait = link.wait(now, TrafficClass::Request, bytes);
+        let wait = link.time_until_available(now, TrafficClass::Request, bytes);
         Some((2 * link.delay() + wait).as_secs_f64() * 1_000.0)
     }
 
@@ -326,7 +326,7 @@
             (alone + waiting + sharing).max(expected) * 1_000.0 + link
         };
         Some(Pick {
-            cautious: time(self.share.cautious()),
+            cautious: time(self.share.cautious_factor()),
             cost: (self.preset.cost_weight_ms * state.cost) as f64,
             index,
             is_local: state.is_in_own_region,
--- a/crates/ebonystand-core/src/smoothed_rate.rs
+++ b/crates/ebonystand-core/src/smoothed_rate.rs
@@ -9,7 +9,7 @@
 
 impl SmoothedRate {
     /// Takes a sample; `constant` is the time after which an old sample weighs 1/e.
-    pub fn sample(&mut self, now: Duration, rate: f64, constant: Duration) {
+    pub fn add_sample(&mut self, now: Duration, rate: f64, constant: Duration) {
         let weight = match self.at {
             Some(at) => {
                 let age = now.saturating_sub(at).as_secs_f64();
--- a/crates/ebonystand-core/tests/allowance/fleet.rs
+++ b/crates/ebonystand-core/tests/allowance/fleet.rs
@@ -359,7 +359,9 @@
     fn confirm(&mut self, vm: &str) {
         let is_due = self.now.as_millis().is_multiple_of(500);
         if is_due && self.nodes[vm].version == self.document.version {
-            self.call(vm, |allowance, now| allowance.confirm(now, now));
+            self.call(vm, |allowance, now| {
+                allowance.confirm_configuration(now, now)
+            });
         }
     }
 
--- a/crates/ebonystand-core/tests/log_budget.rs
+++ b/crates/ebonystand-core/tests/log_budget.rs
@@ -17,7 +17,7 @@
         kept.clear();
         for n in 0..load {
             let at = Duration::from_secs(10 + second) + Duration::from_micros(n * 1_000_000 / load);
-            let lines = (0..3).filter(|_| budget.admit(at, LogKind::Step, hash(n)));
+            let lines = (0..3).filter(|_| budget.admit_line(at, LogKind::RequestStep, hash(n)));
             kept.push((n, lines.count()));
         }
     }
@@ -66,12 +66,12 @@
     let at = Duration::from_secs(20);
     let mut count = |kind| {
         (0..1_000)
-            .filter(|n| budget.admit(at, kind, hash(*n)))
+            .filter(|n| budget.admit_line(at, kind, hash(*n)))
             .count() as u64
     };
-    let steps = count(LogKind::Step);
-    let failures = count(LogKind::Failure);
-    let beliefs = count(LogKind::Belief);
+    let steps = count(LogKind::RequestStep);
+    let failures = count(LogKind::RequestFailure);
+    let beliefs = count(LogKind::Vm);
     assert!(steps <= PER_S);
     assert_eq!(steps + failures, 2 * PER_S);
     assert_eq!(steps + failures + beliefs, 4 * PER_S);
--- a/crates/ebonystand-core/tests/request_policy.rs
+++ b/crates/ebonystand-core/tests/request_policy.rs
@@ -19,7 +19,7 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for n in 0..20_000 {
-        budget.on_request(ms(n));
+        budget.record_request(ms(n));
         retries += u64::from(budget.try_retry(ms(n), Retryable::Idempotent, &preset));
     }
     assert!((1_000..=2_100).contains(&retries), "{retries}");
@@ -38,7 +38,7 @@
     let mut budget = RetryBudget::default();
     let mut retried = Vec::new();
     for n in 0..25_000 {
-        budget.on_request(ms(n));
+        budget.record_request(ms(n));
         let fails = n < first_end || n >= second_start;
         if fails && budget.try_retry(ms(n), Retryable::Idempotent, &preset) {
             retried.push(n);
@@ -59,10 +59,10 @@
 #[test]
 fn a_quiet_vm_may_retry_a_few_times() {
     let mut budget = RetryBudget::default();
-    budget.on_request(ms(0));
+    budget.record_request(ms(0));
     let mut retry = || budget.try_retry(ms(1), Retryable::Idempotent, &Preset::default());
     let granted = (0..10).filter(|_| retry()).count();
-    assert_eq!(granted as u64, RetryBudget::FEWEST);
+    assert_eq!(granted as u64, RetryBudget::MIN_RETRIES);
 }
 
 /// Four of ten engines are down and refuse connections. A VM with little traffic meets them again
@@ -71,11 +71,11 @@
 #[test]
 fn a_request_that_was_not_sent_costs_no_budget() {
     let mut budget = RetryBudget::default();
-    budget.on_request(ms(0));
+    budget.record_request(ms(0));
     let mut retry = |retryable| budget.try_retry(ms(1), retryable, &Preset::default());
     assert!((0..10).all(|_| retry(Retryable::NotStarted)));
     let granted = (0..10).filter(|_| retry(Retryable::Idempotent)).count();
-    assert_eq!(granted as u64, RetryBudget::FEWEST);
+    assert_eq!(granted as u64, RetryBudget::MIN_RETRIES);
 }
 
 /// A delivery order's connection breaks after its first byte was sent. It may have run: sent
@@ -91,7 +91,7 @@
     #[case] relayed: bool,
     #[case] expected: Retryable,
 ) {
-    let retryable = Retryable::of(once, sent, relayed);
+    let retryable = Retryable::classify(once, sent, relayed);
     assert_eq!(retryable, expected);
     let mut budget = RetryBudget::default();
     let granted = budget.try_retry(ms(0), retryable, &Preset::default());
@@ -121,8 +121,11 @@
     ]
     .map(&mut fill);
     assert_eq!(taken, [6_250_000, 5_000_000, 1_250_000]);
-    assert!(budget.wait(ms(0), TrafficClass::Request, 1_000) > ms(100));
-    assert_eq!(budget.wait(ms(0), TrafficClass::Control, 0), Duration::ZERO);
+    assert!(budget.time_until_available(ms(0), TrafficClass::Request, 1_000) > ms(100));
+    assert_eq!(
+        budget.time_until_available(ms(0), TrafficClass::Control, 0),
+        Duration::ZERO
+    );
 }
 
 fn vms() -> Vec<EntryVm> {
--- a/crates/ebonystand/src/admitted_request.rs
+++ b/crates/ebonystand/src/admitted_request.rs
@@ -103,7 +103,7 @@
         if !not_started {
             self.failure = Some(failure.refusal());
         }
-        let retryable = Retryable::of(false, !not_started, false);
+        let retryable = Retryable::classify(false, !not_started, false);
         let document = node.document();
         if !node
             .routes
--- a/crates/ebonystand/src/allowance_controller.rs
+++ b/crates/ebonystand/src/allowance_controller.rs
@@ -56,7 +56,11 @@
     /// Notes that the configuration held here was the newest at `asked`.
     pub(crate) fn confirm(node: &Rc<Node>, asked: Duration) {
         let now = node.clock.now();
-        let outputs = node.allowance.allowance.borrow_mut().confirm(now, asked);
+        let outputs = node
+            .allowance
+            .allowance
+            .borrow_mut()
+            .confirm_configuration(now, asked);
         Self::take(node, outputs);
     }
 
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -189,7 +189,10 @@
 
     pub(crate) fn on_request(&self, now: Duration, service: &str) {
         let mut retries = self.retries.borrow_mut();
-        retries.entry(service.into()).or_default().on_request(now);
+        retries
+            .entry(service.into())
+            .or_default()
+            .record_request(now);
     }
 
     /// Whether callers may be sent here.
--- a/crates/ebonystand/src/logger.rs
+++ b/crates/ebonystand/src/logger.rs
@@ -81,7 +81,7 @@
             let Ok(mut budget) = self.budget.lock() else {
                 return;
             };
-            let admitted = budget.admit(self.clock.now(), kind, hash.unwrap_or_default());
+            let admitted = budget.admit_line(self.clock.now(), kind, hash.unwrap_or_default());
             let dropped = if admitted { budget.take_dropped() } else { 0 };
             (admitted, dropped)
         };
@@ -115,8 +115,10 @@
 fn kind(record: &Record, has_request: bool) -> LogKind {
     let message = record.args().as_str().unwrap_or_default();
     match has_request {
-        false => LogKind::Belief,
-        true if record.level() <= Level::Warn || FAILURES.contains(&message) => LogKind::Failure,
-        true => LogKind::Step,
+        false => LogKind::Vm,
+        true if record.level() <= Level::Warn || FAILURES.contains(&message) => {
+            LogKind::RequestFailure
+        }
+        true => LogKind::RequestStep,
     }
 }
--- a/crates/ebonystand/src/route_controller.rs
+++ b/crates/ebonystand/src/route_controller.rs
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn on_request(&self, now: Duration) {
-        self.retries.borrow_mut().on_request(now);
+        self.retries.borrow_mut().record_request(now);
     }
 
     pub(crate) fn route(&self, now: Duration, query: &RouteQuery) -> Result<Route, Refusal> {
