--- a/crates/ebonystand-core/src/admission.rs
+++ b/crates/ebonystand-core/src/admission.rs
@@ -1,16 +1,18 @@
 use super::*;
 
-/// Answer to a request for allowance.
+/// Result of a request for tokens of a workspace's allowance.
 #[derive(Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The tokens are taken.
+    /// The tokens are taken from this VM's share.
     Granted(Reservation),
-    /// The fleet has too few.
+    /// The allowance does not have enough tokens for the request.
     Refused {
-        /// When it will have them at the workspace's rate; [`Duration::MAX`] if never, since the
-        /// request is larger than the burst or the workspace is not served here.
+        /// Time until the fleet has enough tokens at the workspace's rate. [`Duration::MAX`] if it
+        /// never will: the request exceeds the burst, or the workspace is not served in this
+        /// region.
         retry_after: Duration,
     },
-    /// Too few here; other VMs are being asked. The answer is an [`AllowanceOutput`].
+    /// This VM's share has too few tokens and claims them from holders. An [`AllowanceOutput`] with
+    /// the same ticket follows.
     Waiting(TicketId),
 }
--- a/crates/ebonystand-core/src/allowance/allowance_action.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_action.rs
@@ -1,85 +1,87 @@
 use super::*;
 
-/// Step of the protocol between a VM that needs allowance and one that holds it.
+/// Step of the lease and grant protocol between a VM that needs allowance and a holder of it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AllowanceAction {
-    /// Wants a lease.
+    /// Asks a holder for a lease; the holder answers with [`Self::Lend`].
     Ask {
-        /// Names this ask.
+        /// Identifier of the ask, repeated in the answer.
         ask: AskId,
-        /// Micro-tokens a second that the asker's callers want.
+        /// Demand of the sender's callers, in micro-tokens per second.
         demand: MicroTokens,
-        /// Micro-tokens that claims wait for; 0 asks for stock.
+        /// Micro-tokens that claims waiting at the sender lack; 0 for an ask that prefetches.
         need: MicroTokens,
-        /// Micro-tokens that the asker can hold without more capacity.
+        /// Micro-tokens that fit into the sender's bucket without more capacity.
         room: MicroTokens,
     },
-    /// Wants tokens for one request.
+    /// Asks a holder for the tokens of one request; the holder answers with [`Self::Grant`].
     Claim {
-        /// Names this claim.
+        /// Identifier of the claim, repeated in the answer.
         claim: AskId,
-        /// Whether this holder is the first that is asked for the request.
+        /// Whether this holder is the first one asked for the request; only that one counts it as
+        /// demand.
         first: bool,
-        /// Micro-tokens.
+        /// Micro-tokens that the request needs.
         need: MicroTokens,
     },
-    /// Answers a claim.
+    /// Answers a [`Self::Claim`].
     Grant {
-        /// The claim.
+        /// Identifier of the answered claim.
         claim: AskId,
-        /// Names the grant.
+        /// Identifier of the grant, repeated in a refund.
         grant: LeaseId,
-        /// When the holder will have enough, if it has not.
+        /// Time until the holder expects to have enough tokens; 0 if it granted them.
         retry_after: Duration,
-        /// Micro-tokens, to be spent within [`LeaseTerms::GRANT`] of the claim; all or none.
+        /// Granted micro-tokens, all that were claimed or 0; they expire [`LeaseTerms::GRANT_TERM`]
+        /// after the claim.
         tokens: MicroTokens,
     },
-    /// Answers an ask; empty if there is nothing to lend.
+    /// Answers an [`Self::Ask`]; part and tokens are empty if the holder has nothing to lend.
     Lend {
-        /// The ask.
+        /// Identifier of the answered ask.
         ask: AskId,
-        /// Names the lease.
+        /// Identifier of the lease, repeated in renewals and returns.
         lease: LeaseId,
-        /// What is lent until the lease ends; empty if only tokens come.
+        /// Rate and capacity lent until the lease expires; empty if only tokens are transferred.
         part: AllowancePart,
-        /// What it holds, in micro-tokens.
+        /// Micro-tokens transferred with the lease.
         tokens: MicroTokens,
     },
-    /// Wants tokens back, and leases beyond the borrower's share by demand.
+    /// Asks a borrower to return tokens, and the leased part beyond its share of the demand.
     Recall {
-        /// What may stay. Rate on its way from VM to VM brings no tokens, so it moves only when
-        /// the shares of the demand do.
+        /// Part that the borrower may keep. Rate in transit between VMs accrues no tokens, so it
+        /// moves only when the shares of the demand change.
         keep: AllowancePart,
-        /// Names this recall.
+        /// Identifier of the recall, repeated in the return that answers it.
         recall: u64,
-        /// Micro-tokens that the lender can hold without more capacity.
+        /// Micro-tokens that fit into the lender's bucket without more capacity.
         room: MicroTokens,
     },
-    /// Gives back tokens of a grant that were not spent.
+    /// Returns unspent tokens of a grant to the holder that granted them.
     Refund(GrantRefund),
-    /// Wants leases to last longer.
+    /// Asks a lender to extend leases; the lender answers with [`Self::Renewed`].
     Renew {
-        /// When, on the asker's clock.
+        /// Time of the request on the sender's clock, repeated in the answer.
         asked_at: Duration,
-        /// Micro-tokens a second that the asker's callers want.
+        /// Demand of the sender's callers, in micro-tokens per second.
         demand: MicroTokens,
-        /// What is held of each.
+        /// Leases to extend, each with the part of it that the sender still holds.
         leases: Vec<LeaseHold>,
     },
-    /// Leases last until a lease's length after `asked_at`.
+    /// Extends leases to [`LeaseTerms::BORROWER_TERM`] after `asked_at`.
     Renewed {
-        /// As asked.
+        /// Time from the renewal request, on the borrower's clock.
         asked_at: Duration,
-        /// Those that are renewed.
+        /// Leases that are extended; the others expire.
         leases: Vec<LeaseId>,
     },
-    /// Gives leases back, wholly or in part.
+    /// Returns leases to their lender, wholly or in part.
     Return {
-        /// Micro-tokens a second that the sender's callers want.
+        /// Demand of the sender's callers, in micro-tokens per second.
         demand: MicroTokens,
-        /// What comes back.
+        /// Returned parts and tokens of each lease.
         leases: Vec<LeaseReturn>,
-        /// The recall that this answers.
+        /// Identifier of the answered recall; `None` if the sender returns the leases unasked.
         recall: Option<u64>,
     },
 }
--- a/crates/ebonystand-core/src/allowance/allowance_configure.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_configure.rs
@@ -1,11 +1,11 @@
-//! How an [`Allowance`] takes over a newer configuration.
+//! Application of a newer configuration to an [`Allowance`].
 
 use super::*;
 
 impl Allowance {
-    /// Takes over the configuration; an older one than the present is ignored.
+    /// Applies a configuration; a version that is not newer than the current one is ignored.
     pub fn configure(&mut self, now: Duration, document: &Document) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         if self
             .version
             .is_some_and(|version| document.version <= version)
@@ -22,7 +22,7 @@
         self.cx.take_outputs()
     }
 
-    /// Takes over the regions; whether they and their holders are the same as before.
+    /// Stores the regions with their holders and links; returns whether they are unchanged.
     fn adopt_regions(&mut self, document: &Document) -> bool {
         let same = document.regions.len() == self.fleet.regions.len()
             && document
@@ -33,11 +33,12 @@
         if !same {
             let regions = document.regions.iter();
             self.fleet.regions = regions.map(|(id, r)| (id.clone(), r.clone())).collect();
-            self.cx.reach = self.fleet.reach();
+            self.cx.max_link_delay = self.fleet.max_link_delay();
         }
         same
     }
 
+    /// Adds the plan of a workspace or updates it.
     fn adopt_workspace(
         &mut self,
         now: Duration,
@@ -46,46 +47,52 @@
         same_regions: bool,
         is_first: bool,
     ) {
-        let whole = AllowancePart::whole(workspace);
+        let total = AllowancePart::total_of(workspace);
         if same_regions
             && let Some(plan) = self.plans.get(id)
-            && plan.whole == whole
-            && plan.residency == self.fleet.residency(workspace)
+            && plan.total == total
+            && plan.residency == self.fleet.residency_indices(workspace)
         {
             return;
         }
-        let mut newer = self.fleet.plan(&self.cx.vm, id, workspace);
+        let mut newer = self.fleet.build_plan(&self.cx.vm, id, workspace);
         if let Some(plan) = self.plans.get_mut(id) {
-            plan.adopt(newer, now, self.ready);
-            self.reshare(now, id);
+            plan.adopt(newer, now, self.ready_at);
+            self.update_share(now, id);
             return;
         }
         newer.idle_since = now;
         if let Some(until) = self.removed.remove(id) {
-            let interim = AllowancePart::ZERO;
-            newer.handover = Some(Box::new(Handover { interim, until }));
+            let interim_part = AllowancePart::ZERO;
+            newer.handover = Some(Box::new(Handover {
+                interim_part,
+                ends_at: until,
+            }));
         } else if !is_first {
-            // Nobody has used it yet.
-            newer.idle_level = newer.own.capacity;
+            // A workspace that is new to a running fleet starts with full buckets: nobody has spent
+            // from them.
+            newer.idle_level = newer.own_part.capacity;
         }
         self.plans.insert(id.clone(), newer);
     }
 
-    /// Brings a share in use up to its plan.
-    fn reshare(&mut self, now: Duration, id: &WorkspaceId) {
+    /// Updates the share of a workspace in use from its plan.
+    fn update_share(&mut self, now: Duration, id: &WorkspaceId) {
         let Some((share, plan)) = self.shares.get_mut(id).zip(self.plans.get(id)) else {
             return;
         };
         share.expire(now, &mut self.cx);
-        share.whole = plan.whole;
-        share.route = self.fleet.route(id, &plan.residency);
-        let part = plan.part(now, self.ready);
+        share.total = plan.total;
+        share.holders = self.fleet.holders_of(id, &plan.residency);
+        let part = plan.part_in_force(now, self.ready_at);
         share.lender.set_part(now, part, &mut share.bucket);
         share.serve_claims(now, &mut self.cx);
-        let change = plan.part_changes(now, self.ready);
+        let change = plan.next_part_change(now, self.ready_at);
         Self::set_timer(&mut self.timers, share, now, change);
     }
 
+    /// Drops workspaces that the document no longer has, returns their leases and refuses their
+    /// requests.
     fn remove_workspaces(&mut self, now: Duration, document: &Document) {
         let gone = |id: &&WorkspaceId| !document.workspaces.contains_key(*id);
         let gone: Vec<WorkspaceId> = self.plans.keys().filter(gone).cloned().collect();
@@ -93,12 +100,12 @@
             let Some(plan) = self.plans.remove(&id) else {
                 continue;
             };
-            let refill = time_for(plan.whole.capacity, plan.whole.rate);
+            let refill = accrual_time(plan.total.capacity, plan.total.rate);
             let until = now + refill.max(LeaseTerms::HANDOVER_DELAY);
             self.removed.insert(id.clone(), until);
             if let Some(mut share) = self.shares.remove(&id) {
-                share.give_all_back(now, &mut self.cx);
-                share.refuse_all(Duration::MAX, &mut self.cx);
+                share.return_all_leases(now, &mut self.cx);
+                share.refuse_all_tickets(Duration::MAX, &mut self.cx);
             }
         }
     }
--- a/crates/ebonystand-core/src/allowance/allowance_cx.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_cx.rs
@@ -1,14 +1,18 @@
 use super::*;
 
-/// What the workspaces of one [`Allowance`] share.
+/// State shared by all workspaces of one [`Allowance`]: identity of the VM, sequence numbers and
+/// pending outputs.
 #[derive(Debug)]
 pub(crate) struct AllowanceCx {
     pub(crate) draining: bool,
     pub(crate) incarnation: Incarnation,
+    /// Pending message for each VM.
     pub(crate) outbox: BTreeMap<VmId, AllowanceMessage>,
+    /// Pending outputs other than messages.
     pub(crate) outputs: Vec<AllowanceOutput>,
-    /// Longest one-way delay from this VM's region to another.
-    pub(crate) reach: Duration,
+    /// Largest one-way delay from this VM's region to another.
+    pub(crate) max_link_delay: Duration,
+    /// Last sequence number handed out.
     sequence: u64,
     pub(crate) vm: VmId,
 }
@@ -20,20 +24,26 @@
             incarnation,
             outbox: BTreeMap::new(),
             outputs: Vec::new(),
-            reach: Duration::ZERO,
+            max_link_delay: Duration::ZERO,
             sequence: 0,
             vm,
         }
     }
 
-    /// Number that this start has not used yet.
-    pub(crate) fn next(&mut self) -> u64 {
+    /// Returns a sequence number that is unique within this start of the VM and larger than all
+    /// before.
+    pub(crate) fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Adds to the message for `to`.
-    pub(crate) fn send(&mut self, to: &VmId, workspace: &WorkspaceId, action: AllowanceAction) {
+    /// Appends an item to the pending message for `to`.
+    pub(crate) fn queue_item(
+        &mut self,
+        to: &VmId,
+        workspace: &WorkspaceId,
+        action: AllowanceAction,
+    ) {
         let item = AllowanceItem {
             action,
             workspace: workspace.clone(),
@@ -47,7 +57,7 @@
         }
     }
 
-    /// Everything to be done, one message for each VM.
+    /// Takes all pending outputs, with one message for each VM.
     pub(crate) fn take_outputs(&mut self) -> Vec<AllowanceOutput> {
         let mut outputs = std::mem::take(&mut self.outputs);
         let outbox = std::mem::take(&mut self.outbox);
@@ -59,13 +69,14 @@
         outputs
     }
 
-    /// Time that a lender waits for the leases it called back.
-    pub(crate) fn recall_wait(&self) -> Duration {
-        LeaseTerms::ANSWER + self.reach * 2
+    /// Time that a lender waits for the borrowers' answers to a recall.
+    pub(crate) fn recall_timeout(&self) -> Duration {
+        LeaseTerms::ANSWER_MARGIN + self.max_link_delay * 2
     }
 
-    /// Longest time that a request waits: one round with the own holder, one with the others.
-    pub(crate) fn ticket_wait(&self) -> Duration {
-        (LeaseTerms::ANSWER + LeaseTerms::CLAIM) * 2 + self.reach * 2
+    /// Longest time that a request waits for tokens: a round with the own region's holder, then one
+    /// with all others.
+    pub(crate) fn ticket_timeout(&self) -> Duration {
+        (LeaseTerms::ANSWER_MARGIN + LeaseTerms::MAX_CLAIM_WAIT) * 2 + self.max_link_delay * 2
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_item.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_item.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// One matter of one workspace.
+/// One protocol step for one workspace's allowance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceItem {
-    /// What.
+    /// Protocol step to take.
     pub action: AllowanceAction,
-    /// Whose allowance.
+    /// Workspace whose allowance the step concerns.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/allowance/allowance_lender.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_lender.rs
@@ -1,24 +1,30 @@
 use super::*;
 
-/// A VM's part of one workspace's allowance, and what it has lent of it.
+/// Lender's side of one workspace: the part that this VM holds, and the leases on it.
 ///
-/// Only the own part is lent, never what was borrowed, so no lease rests on another.
+/// Only the own part is lent, never a borrowed one, so that no lease depends on another.
 #[derive(Debug, Default)]
 pub(crate) struct AllowanceLender {
+    /// Demand and newest ask of each VM that has asked for a lease.
     borrowers: BTreeMap<VmId, Borrower>,
-    /// What the bucket has of the own part.
+    /// Portion of the own part that is not lent and is in the bucket.
     free: AllowancePart,
+    /// Leases that have not expired, by sequence number.
     lent: BTreeMap<u64, LentLease>,
+    /// Sum of the parts in `lent`.
     lent_total: AllowancePart,
+    /// Own part in force, including what is lent.
     part: AllowancePart,
+    /// Recall whose answers are outstanding.
     recall: Option<Recall>,
 }
 
 impl AllowanceLender {
-    /// Least part of the own one that is worth a lease: demand that varies would give rise to many.
-    const LEAST: MicroTokens = 16;
+    /// Divisor of the own rate that gives the smallest rate worth a lease. Without a minimum, each
+    /// variation of the demand would cause another lease.
+    const MIN_LEASE_DIVISOR: MicroTokens = 16;
 
-    /// Puts the part in force. What is lent beyond a smaller part comes back with the leases' end.
+    /// Sets the own part. If it shrinks below what is lent, the excess comes back as leases expire.
     pub(crate) fn set_part(
         &mut self,
         now: Duration,
@@ -26,42 +32,42 @@
         bucket: &mut TokenBucket,
     ) {
         self.part = part;
-        self.rebase(now, bucket);
+        self.update_free_part(now, bucket);
     }
 
-    /// Whether the own part is not to be used.
-    pub(crate) fn is_resting(&self) -> bool {
+    /// Whether this VM has no own part to use or lend: it holds none, or must leave it unused.
+    pub(crate) fn has_no_part(&self) -> bool {
         self.part == AllowancePart::ZERO
     }
 
-    /// Part lent to others.
+    /// Sum of the parts lent to other VMs.
     pub(crate) fn lent_total(&self) -> AllowancePart {
         self.lent_total
     }
 
-    /// Whether there is anything to remember.
-    pub(crate) fn is_idle(&self) -> bool {
+    /// Whether no lease is outstanding.
+    pub(crate) fn has_no_leases(&self) -> bool {
         self.lent.is_empty()
     }
 
-    /// Takes back what has ended, without its tokens: they may have been spent.
+    /// Reclaims expired leases, without their tokens: the borrower may have spent them.
     pub(crate) fn expire(&mut self, now: Duration, bucket: &mut TokenBucket) {
         let before = self.lent.len();
         let total = &mut self.lent_total;
         self.lent.retain(|_, lease| {
-            let lasts = now < lease.ends;
+            let lasts = now < lease.expires_at;
             if !lasts {
-                *total = total.minus(lease.part);
+                *total = total.saturating_sub(lease.part);
             }
             lasts
         });
         if self.lent.len() != before {
-            self.rebase(now, bucket);
+            self.update_free_part(now, bucket);
         }
     }
 
-    /// Notes an ask; false if it is a duplicate or late.
-    pub(crate) fn takes_ask(
+    /// Records a borrower's demand; returns false if the ask is a duplicate or older than another.
+    pub(crate) fn accept_ask(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -70,38 +76,38 @@
     ) -> bool {
         if let Some(borrower) = self.borrowers.get_mut(from) {
             borrower.demand = demand;
-            borrower.heard = now;
-            return borrower.takes(ask);
+            borrower.heard_at = now;
+            return borrower.accept_if_newer(ask);
         }
         let borrower = Borrower {
             demand,
-            heard: now,
-            newest: ask,
+            heard_at: now,
+            newest_ask: ask,
         };
         self.borrowers.insert(from.clone(), borrower);
         true
     }
 
-    /// Whether leases that were called back may still come.
+    /// Whether answers to a recall are still awaited.
     pub(crate) fn is_recalling(&mut self, now: Duration) -> bool {
-        let done = |recall: &Recall| recall.unanswered.is_empty() || recall.until <= now;
+        let done = |recall: &Recall| recall.unanswered.is_empty() || recall.expires_at <= now;
         if self.recall.as_ref().is_some_and(done) {
             self.recall = None;
         }
         self.recall.is_some()
     }
 
-    /// Tokens that can be lent now to a VM that has `room`.
+    /// Micro-tokens that can be lent now to a VM whose bucket has `room` for more.
     pub(crate) fn lendable(&self, room: MicroTokens, bucket: &TokenBucket) -> MicroTokens {
         bucket.level().min(self.free.capacity.saturating_add(room))
     }
 
-    /// Whether someone other than `vm` has leases.
-    pub(crate) fn lends_beside(&self, vm: &VmId) -> bool {
-        self.lent.values().any(|lease| lease.to != *vm)
+    /// Whether a VM other than `vm` has leases.
+    pub(crate) fn has_other_borrowers(&self, vm: &VmId) -> bool {
+        self.lent.values().any(|lease| lease.borrower != *vm)
     }
 
-    /// Calls back the leases of all but `vm`; what to send to whom.
+    /// Starts a recall from all borrowers but `vm`; returns the message for each.
     pub(crate) fn start_recall(
         &mut self,
         now: Duration,
@@ -110,26 +116,26 @@
         bucket: &TokenBucket,
         cx: &mut AllowanceCx,
     ) -> Vec<(VmId, AllowanceAction)> {
-        let others = self.lent.values().filter(|lease| lease.to != *vm);
-        let unanswered: BTreeSet<VmId> = others.map(|lease| lease.to.clone()).collect();
-        let recall = cx.next();
+        let others = self.lent.values().filter(|lease| lease.borrower != *vm);
+        let unanswered: BTreeSet<VmId> = others.map(|lease| lease.borrower.clone()).collect();
+        let recall = cx.next_sequence();
         let total = self.total_demand(now, own_demand);
         let room = bucket.room() / unanswered.len().max(1) as u64;
         let action = |to: &VmId| {
-            let keep = self.kept(now, to, total);
+            let keep = self.part_to_keep(now, to, total);
             AllowanceAction::Recall { keep, recall, room }
         };
         let recalls = unanswered.iter().map(|to| (to.clone(), action(to)));
         let recalls = recalls.collect();
         self.recall = Some(Recall {
             id: recall,
-            until: now + cx.recall_wait(),
+            expires_at: now + cx.recall_timeout(),
             unanswered,
         });
         recalls
     }
 
-    /// Calls back what a VM whose demand has fallen has beyond its share.
+    /// Recalls what a borrower has beyond its share, if its demand has fallen.
     pub(crate) fn recall_excess(
         &self,
         now: Duration,
@@ -137,15 +143,15 @@
         own_demand: MicroTokens,
         cx: &mut AllowanceCx,
     ) -> Option<AllowanceAction> {
-        let keep = self.kept(now, vm, self.total_demand(now, own_demand));
+        let keep = self.part_to_keep(now, vm, self.total_demand(now, own_demand));
         (self.lent_to(vm).rate > keep.rate).then(|| AllowanceAction::Recall {
             keep,
-            recall: cx.next(),
+            recall: cx.next_sequence(),
             room: 0,
         })
     }
 
-    /// Lends to the asker its share by demand, and the tokens that claims need.
+    /// Lends a part in proportion to the borrower's demand, and the tokens that its claims need.
     pub(crate) fn lend(
         &mut self,
         now: Duration,
@@ -157,28 +163,30 @@
     ) -> (LeaseId, AllowancePart, MicroTokens) {
         let id = LeaseId {
             incarnation: cx.incarnation,
-            sequence: cx.next(),
+            sequence: cx.next_sequence(),
         };
-        let (part, tokens) = self.offer(now, to, (need, room), own_demand, bucket);
-        // Debited before it is sent: a lost message loses tokens, it never doubles them.
-        bucket.take(now, part, tokens);
+        let (part, tokens) = self.compute_offer(now, to, (need, room), own_demand, bucket);
+        // Debited before the message is sent, so that a lost message loses tokens and never
+        // duplicates them.
+        bucket.remove(now, part, tokens);
         if part == AllowancePart::ZERO {
             return (id, part, tokens);
         }
-        self.free = self.free.minus(part);
-        self.lent_total = self.lent_total.plus(part);
+        self.free = self.free.saturating_sub(part);
+        self.lent_total = self.lent_total.saturating_add(part);
         let lease = LentLease {
-            ends: now + LeaseTerms::HOLD,
+            expires_at: now + LeaseTerms::LENDER_TERM,
             part,
-            returned: 0,
-            to: to.clone(),
+            last_return: 0,
+            borrower: to.clone(),
         };
         self.lent.insert(id.sequence, lease);
         (id, part, tokens)
     }
 
-    /// Renews leases; those that a smaller part no longer covers are left to end.
-    pub(crate) fn renew(
+    /// Renews a borrower's leases; returns the renewed ones. If the own part has shrunk below what
+    /// is lent, none is renewed, so that they expire.
+    pub(crate) fn renew_leases(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -187,23 +195,23 @@
         bucket: &mut TokenBucket,
         cx: &AllowanceCx,
     ) -> Vec<LeaseId> {
-        self.note_demand(now, from, demand);
+        self.record_demand(now, from, demand);
         let mut renewed = Vec::new();
         for hold in leases {
-            self.shrink(from, hold, cx);
+            self.shrink_lease(from, hold, cx);
             let covered = self.lent_total.min(self.part) == self.lent_total;
-            if covered && let Some(lease) = self.lease_of(from, hold.lease, cx) {
-                lease.ends = now + LeaseTerms::HOLD;
+            if covered && let Some(lease) = self.find_lease(from, hold.lease, cx) {
+                lease.expires_at = now + LeaseTerms::LENDER_TERM;
                 renewed.push(hold.lease);
             }
         }
-        self.rebase(now, bucket);
+        self.update_free_part(now, bucket);
         renewed
     }
 
-    /// Takes leases back with their tokens. A lease that has ended or came back already is
-    /// unknown, so a late or doubled return brings nothing.
-    pub(crate) fn take_back(
+    /// Takes back leases and their tokens. A lease that has expired or was returned is unknown, so
+    /// a late or duplicated return credits nothing.
+    pub(crate) fn accept_returns(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -213,28 +221,28 @@
     ) {
         let mut tokens = 0_u64;
         for back in leases {
-            let Some(lease) = self.lease_of(from, back.hold.lease, cx) else {
+            let Some(lease) = self.find_lease(from, back.hold.lease, cx) else {
                 continue;
             };
-            if back.sequence > lease.returned {
-                lease.returned = back.sequence;
+            if back.sequence > lease.last_return {
+                lease.last_return = back.sequence;
                 tokens = tokens.saturating_add(back.tokens.min(lease.part.capacity));
             }
-            self.shrink(from, &back.hold, cx);
+            self.shrink_lease(from, &back.hold, cx);
         }
-        self.rebase(now, bucket);
-        bucket.put(now, AllowancePart::ZERO, tokens);
+        self.update_free_part(now, bucket);
+        bucket.add(now, AllowancePart::ZERO, tokens);
     }
 
-    /// Notes what a VM that gave leases back said.
-    pub(crate) fn note_return(
+    /// Records the demand in a return and, if it answers the current recall, the borrower's answer.
+    pub(crate) fn record_return(
         &mut self,
         now: Duration,
         from: &VmId,
         demand: MicroTokens,
         recall: Option<u64>,
     ) {
-        self.note_demand(now, from, demand);
+        self.record_demand(now, from, demand);
         if let Some(current) = &mut self.recall
             && recall == Some(current.id)
         {
@@ -242,30 +250,32 @@
         }
     }
 
-    /// When something happens by itself next.
+    /// Earliest time at which a lease or a recall expires.
     pub(crate) fn deadline(&self) -> Option<Duration> {
-        let ends = self.lent.values().map(|lease| lease.ends).min();
-        let recall = self.recall.as_ref().map(|recall| recall.until);
-        [ends, recall].into_iter().flatten().min()
+        let expiry = self.lent.values().map(|lease| lease.expires_at).min();
+        let recall = self.recall.as_ref().map(|recall| recall.expires_at);
+        [expiry, recall].into_iter().flatten().min()
     }
 
-    fn lease_of(&mut self, vm: &VmId, id: LeaseId, cx: &AllowanceCx) -> Option<&mut LentLease> {
+    /// Finds a lease of `vm` that this start of the lender has made.
+    fn find_lease(&mut self, vm: &VmId, id: LeaseId, cx: &AllowanceCx) -> Option<&mut LentLease> {
         if id.incarnation != cx.incarnation {
             return None;
         }
         self.lent
             .get_mut(&id.sequence)
-            .filter(|lease| lease.to == *vm)
+            .filter(|lease| lease.borrower == *vm)
     }
 
-    fn note_demand(&mut self, now: Duration, vm: &VmId, demand: MicroTokens) {
+    fn record_demand(&mut self, now: Duration, vm: &VmId, demand: MicroTokens) {
         if let Some(borrower) = self.borrowers.get_mut(vm) {
             borrower.demand = demand;
-            borrower.heard = now;
+            borrower.heard_at = now;
         }
     }
 
-    fn offer(
+    /// Part and micro-tokens to lend to a borrower that needs `need` and has `room`.
+    fn compute_offer(
         &self,
         now: Duration,
         to: &VmId,
@@ -276,17 +286,24 @@
         let total = self.total_demand(now, own_demand);
         let demand = self.demand_of(now, to);
         let has = self.lent_to(to);
-        let mut more = self.share(demand, total).minus(has).min(self.free);
-        if more.rate < self.part.rate / Self::LEAST {
+        let mut more = self
+            .share_by_demand(demand, total)
+            .saturating_sub(has)
+            .min(self.free);
+        if more.rate < self.part.rate / Self::MIN_LEASE_DIVISOR {
             more = AllowancePart::ZERO;
         }
         if bucket.level() >= bucket.part().capacity / 4 * 3 {
-            // A full bucket loses its rate, so all goes that the own callers do not want.
-            more = more.max(self.free.minus(self.share(own_demand, total)));
+            // Tokens that accrue to a nearly full bucket are lost, so it lends all that the own
+            // callers don't need.
+            more = more.max(
+                self.free
+                    .saturating_sub(self.share_by_demand(own_demand, total)),
+            );
         }
-        let stock = scale(bucket.level(), demand, total).min(more.capacity + room);
+        let stock = mul_div(bucket.level(), demand, total).min(more.capacity + room);
         let tokens = stock.max(need).min(self.lendable(room, bucket));
-        // What stays must still hold the tokens that stay.
+        // The remaining capacity must hold the remaining tokens.
         let spare = bucket.room() + tokens;
         let capacity = more
             .capacity
@@ -300,56 +317,63 @@
         )
     }
 
-    /// What a recall leaves with a VM: half more than fair, or the noise of the demand would keep
-    /// leases moving.
-    fn kept(&self, now: Duration, vm: &VmId, total: MicroTokens) -> AllowancePart {
-        let fair = self.share(self.demand_of(now, vm), total);
-        fair.plus(fair.half())
+    /// Part that a recall leaves with a borrower: one and a half times its share, since noise in
+    /// the demand would otherwise move leases back and forth.
+    fn part_to_keep(&self, now: Duration, vm: &VmId, total: MicroTokens) -> AllowancePart {
+        let fair = self.share_by_demand(self.demand_of(now, vm), total);
+        fair.saturating_add(fair.half())
     }
 
+    /// Sum of the parts lent to a VM.
     fn lent_to(&self, vm: &VmId) -> AllowancePart {
         self.lent
             .values()
-            .filter(|lease| lease.to == *vm)
-            .fold(AllowancePart::ZERO, |sum, lease| sum.plus(lease.part))
+            .filter(|lease| lease.borrower == *vm)
+            .fold(AllowancePart::ZERO, |sum, lease| {
+                sum.saturating_add(lease.part)
+            })
     }
 
-    fn shrink(&mut self, vm: &VmId, hold: &LeaseHold, cx: &AllowanceCx) {
-        let Some(lease) = self.lease_of(vm, hold.lease, cx) else {
+    /// Reduces a lease to what its borrower still holds, and removes an empty one.
+    fn shrink_lease(&mut self, vm: &VmId, hold: &LeaseHold, cx: &AllowanceCx) {
+        let Some(lease) = self.find_lease(vm, hold.lease, cx) else {
             return;
         };
         let left = lease.part.min(hold.part);
-        let gone = lease.part.minus(left);
+        let gone = lease.part.saturating_sub(left);
         lease.part = left;
-        self.lent_total = self.lent_total.minus(gone);
+        self.lent_total = self.lent_total.saturating_sub(gone);
         if left == AllowancePart::ZERO {
             self.lent.remove(&hold.lease.sequence);
         }
     }
 
+    /// Current demand of a borrower, in micro-tokens per second.
     fn demand_of(&self, now: Duration, vm: &VmId) -> MicroTokens {
         let borrower = self.borrowers.get(vm);
         borrower.map_or(0, |borrower| borrower.fresh_demand(now))
     }
 
+    /// Demand of all borrowers and the own callers, in micro-tokens per second; at least 1.
     fn total_demand(&self, now: Duration, own_demand: MicroTokens) -> MicroTokens {
         let demand = |borrower: &Borrower| borrower.fresh_demand(now);
         let all: MicroTokens = self.borrowers.values().map(demand).sum();
         all.saturating_add(own_demand).max(1)
     }
 
-    /// Share of the part that goes with `demand` out of `total`.
-    fn share(&self, demand: MicroTokens, total: MicroTokens) -> AllowancePart {
+    /// Share of the own part in proportion `demand` to `total`.
+    fn share_by_demand(&self, demand: MicroTokens, total: MicroTokens) -> AllowancePart {
         AllowancePart {
-            capacity: scale(self.part.capacity, demand, total),
-            rate: scale(self.part.rate, demand, total),
+            capacity: mul_div(self.part.capacity, demand, total),
+            rate: mul_div(self.part.rate, demand, total),
         }
     }
 
-    fn rebase(&mut self, now: Duration, bucket: &mut TokenBucket) {
-        let free = self.part.minus(self.lent_total);
-        bucket.put(now, free.minus(self.free), 0);
-        bucket.take(now, self.free.minus(free), 0);
+    /// Recomputes the free part after a change of the own or the lent part, and resizes the bucket.
+    fn update_free_part(&mut self, now: Duration, bucket: &mut TokenBucket) {
+        let free = self.part.saturating_sub(self.lent_total);
+        bucket.add(now, free.saturating_sub(self.free), 0);
+        bucket.remove(now, self.free.saturating_sub(free), 0);
         self.free = free;
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_message.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_message.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Everything that one VM has to say to another about allowances at one moment.
+/// Batch of protocol steps that one VM sends to another.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceMessage {
-    /// In the order in which it came up.
+    /// Protocol steps in the order in which they were queued.
     pub items: Vec<AllowanceItem>,
 }
--- a/crates/ebonystand-core/src/allowance/allowance_output.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_output.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// What an [`Allowance`] wants done.
+/// Effect that an [`Allowance`] asks its caller to carry out.
 #[derive(Debug, Eq, PartialEq)]
 pub enum AllowanceOutput {
-    /// A request that waited has its tokens.
+    /// Admits a request that returned [`Admission::Waiting`].
     Admitted {
-        /// What it took.
+        /// Tokens reserved for the request.
         reservation: Reservation,
-        /// Which request.
+        /// Ticket of the waiting request.
         ticket: TicketId,
     },
-    /// A request that waited is refused.
+    /// Refuses a request that returned [`Admission::Waiting`].
     Refused {
-        /// As in [`Admission::Refused`].
+        /// Time until a retry is worthwhile, as in [`Admission::Refused`].
         retry_after: Duration,
-        /// Which request.
+        /// Ticket of the waiting request.
         ticket: TicketId,
     },
-    /// A message for another VM; it may be lost, doubled or late.
+    /// Sends a message to another VM. It may be lost, duplicated or delayed without harm.
     Send {
-        /// What to send.
+        /// Message to send.
         message: AllowanceMessage,
-        /// Where to.
+        /// Receiving VM.
         to: VmId,
     },
 }
 
 impl AllowanceOutput {
-    /// The waiting request that this answers.
+    /// Ticket of the request that this output answers; `None` for a message.
     pub(crate) fn ticket(&self) -> Option<TicketId> {
         match self {
             Self::Admitted { ticket, .. } | Self::Refused { ticket, .. } => Some(*ticket),
--- a/crates/ebonystand-core/src/allowance/allowance_part.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_part.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Millionth of a token; balances and rates are kept in it, so that small shares of a rate
-/// still add up.
+/// Millionth of a token, the unit of balances and rates. Small shares of a rate would round to 0 in
+/// whole tokens.
 pub type MicroTokens = u64;
 
-/// Share of a workspace's allowance. The parts of one workspace over the fleet, also those in
-/// flight, add up to no more than its rate and burst.
+/// Rate and capacity of one VM's part of a workspace's allowance. Over the fleet, including leases
+/// in transit, the parts of a workspace add up to at most its rate and burst.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowancePart {
-    /// Most micro-tokens that may pile up.
+    /// Largest balance, in micro-tokens.
     pub capacity: MicroTokens,
-    /// Micro-tokens a second.
+    /// Rate at which tokens accrue, in micro-tokens per second.
     pub rate: MicroTokens,
 }
 
 impl AllowancePart {
-    /// Most that a clock may run fast, in millionths. Rates are cut by it, so that a VM whose
-    /// clock is fast by as much still stays within the workspace's rate.
+    /// Largest tolerated clock error, in millionths. Rates are reduced by it, so that a VM whose
+    /// clock runs fast by that much stays within the workspace's rate.
     pub const CLOCK_DRIFT_PPM: u64 = 500;
 
-    /// Nothing.
+    /// Part without rate and capacity.
     pub(crate) const ZERO: Self = Self {
         capacity: 0,
         rate: 0,
     };
 
-    /// Micro-tokens in a token.
+    /// Number of micro-tokens in a token.
     pub(crate) const SCALE: u64 = 1_000_000;
 
-    /// Component by component, the smaller.
+    /// Smaller value of each component.
     pub(crate) fn min(self, other: Self) -> Self {
         Self {
             capacity: self.capacity.min(other.capacity),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Component by component, the larger.
+    /// Larger value of each component.
     pub(crate) fn max(self, other: Self) -> Self {
         Self {
             capacity: self.capacity.max(other.capacity),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Half of each component.
+    /// Half of rate and capacity.
     pub(crate) fn half(self) -> Self {
         Self {
             capacity: self.capacity / 2,
@@ -52,30 +52,31 @@
         }
     }
 
-    /// Sum.
-    pub(crate) fn plus(self, other: Self) -> Self {
+    /// Sum of each component, saturating at the largest value.
+    pub(crate) fn saturating_add(self, other: Self) -> Self {
         Self {
             capacity: self.capacity.saturating_add(other.capacity),
             rate: self.rate.saturating_add(other.rate),
         }
     }
 
-    /// Micro-tokens that come in during `time`, rounded down.
+    /// Micro-tokens that accrue during `time`, rounded down.
     pub(crate) fn accrual(self, time: Duration) -> MicroTokens {
         let gained = u128::from(self.rate) * time.as_nanos() / 1_000_000_000;
         u64::try_from(gained).unwrap_or(u64::MAX)
     }
 
-    /// Difference; no component goes below 0.
-    pub(crate) fn minus(self, other: Self) -> Self {
+    /// Difference of each component, saturating at 0.
+    pub(crate) fn saturating_sub(self, other: Self) -> Self {
         Self {
             capacity: self.capacity.saturating_sub(other.capacity),
             rate: self.rate.saturating_sub(other.rate),
         }
     }
 
-    /// Part `index` of `count` equal parts, which add up to the whole. Each grows with the whole,
-    /// so VMs that differ only in their view of rate and burst hold no more than the larger.
+    /// Part number `index` of `count` equal parts that add up to this one. Each grows with the
+    /// total, so that VMs that know different rates and bursts hold no more than the larger ones
+    /// together.
     pub(crate) fn split(self, index: u64, count: u64) -> Self {
         let part = |whole: u64| whole / count + u64::from(index < whole % count);
         Self {
@@ -84,8 +85,9 @@
         }
     }
 
-    /// Allowance of a workspace over the fleet.
-    pub(crate) fn whole(workspace: &Workspace) -> Self {
+    /// Total allowance of a workspace over the fleet, with the rate reduced by
+    /// [`Self::CLOCK_DRIFT_PPM`].
+    pub(crate) fn total_of(workspace: &Workspace) -> Self {
         let rate = workspace.rate.saturating_mul(Self::SCALE);
         Self {
             capacity: workspace.burst.saturating_mul(Self::SCALE),
--- a/crates/ebonystand-core/src/allowance/allowance_plan.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_plan.rs
@@ -1,75 +1,87 @@
 use super::*;
 
-/// What the configuration says of one workspace, and what this VM's part of it held when the
-/// workspace was last in use here.
+/// Configuration of one workspace as it concerns this VM, and the level of its bucket while the
+/// workspace is not in use here.
 #[derive(Debug)]
 pub(crate) struct AllowancePlan {
+    /// Transition to a part that moved; kept after it has ended.
     pub(crate) handover: Option<Box<Handover>>,
+    /// Micro-tokens held at `idle_since`.
     pub(crate) idle_level: MicroTokens,
+    /// Time from which tokens accrue on top of `idle_level`.
     pub(crate) idle_since: Duration,
-    /// Part of this VM.
-    pub(crate) own: AllowancePart,
-    /// Regions of the residency, as places in [`AllowanceFleet`].
+    /// Part that the configuration assigns to this VM.
+    pub(crate) own_part: AllowancePart,
+    /// Indices of the residency's regions in [`AllowanceFleet`].
     pub(crate) residency: Box<[u16]>,
-    /// Hash of the regions and holders that the whole is divided over.
-    pub(crate) structure: u64,
-    pub(crate) whole: AllowancePart,
+    /// Hash of the regions and holders that the total is divided over.
+    pub(crate) holders_hash: u64,
+    /// Allowance of the workspace over the fleet.
+    pub(crate) total: AllowancePart,
 }
 
 impl AllowancePlan {
-    /// Part in force.
-    pub(crate) fn part(&self, now: Duration, ready: Duration) -> AllowancePart {
-        if now < ready {
+    /// Part that this VM may use at `now`: none before `ready_at`, the smaller one during a
+    /// handover.
+    pub(crate) fn part_in_force(&self, now: Duration, ready_at: Duration) -> AllowancePart {
+        if now < ready_at {
             return AllowancePart::ZERO;
         }
-        self.settled_part(now)
+        self.configured_part(now)
     }
 
-    /// When the part in force next changes by itself.
-    pub(crate) fn part_changes(&self, now: Duration, ready: Duration) -> Option<Duration> {
-        let until = self.handover.as_ref().map(|handover| handover.until);
-        [Some(ready), until]
+    /// Time of the next change of [`Self::part_in_force`] without a new configuration.
+    pub(crate) fn next_part_change(&self, now: Duration, ready_at: Duration) -> Option<Duration> {
+        let ends_at = self.handover.as_ref().map(|handover| handover.ends_at);
+        [Some(ready_at), ends_at]
             .into_iter()
             .flatten()
             .filter(|at| *at > now)
             .min()
     }
 
-    /// Tokens that an unused part holds. A part under handover fills at its smaller rate.
-    pub(crate) fn level(&self, now: Duration, ready: Duration) -> MicroTokens {
-        let part = self.part(now, ready);
+    /// Micro-tokens in the bucket of an unused workspace at `now`. During a handover the bucket
+    /// fills at the interim part's rate.
+    pub(crate) fn level_at(&self, now: Duration, ready_at: Duration) -> MicroTokens {
+        let part = self.part_in_force(now, ready_at);
         let since = match &self.handover {
-            Some(handover) if now >= handover.until => self.idle_since.max(handover.until),
+            Some(handover) if now >= handover.ends_at => self.idle_since.max(handover.ends_at),
             _ => self.idle_since,
         };
-        let gained = part.accrual(now.saturating_sub(since.max(ready)));
+        let gained = part.accrual(now.saturating_sub(since.max(ready_at)));
         self.idle_level.saturating_add(gained).min(part.capacity)
     }
 
-    /// Takes over a newer plan. A part that moved grows only after the handover: its former holder
-    /// may spend it until then, and both together would exceed the whole.
-    pub(crate) fn adopt(&mut self, newer: Self, now: Duration, ready: Duration) {
-        let level = self.level(now, ready);
-        let interim = self.settled_part(now).min(newer.own);
-        if self.structure != newer.structure {
-            let until = now + LeaseTerms::HANDOVER_DELAY;
-            self.handover = Some(Box::new(Handover { interim, until }));
+    /// Replaces the plan by a newer one. A part that moved here grows only after the handover:
+    /// until then its former holder may spend it, and both together would exceed the total.
+    pub(crate) fn adopt(&mut self, newer: Self, now: Duration, ready_at: Duration) {
+        let level = self.level_at(now, ready_at);
+        let interim_part = self.configured_part(now).min(newer.own_part);
+        if self.holders_hash != newer.holders_hash {
+            let ends_at = now + LeaseTerms::HANDOVER_DELAY;
+            self.handover = Some(Box::new(Handover {
+                interim_part,
+                ends_at,
+            }));
         } else if let Some(handover) = &mut self.handover {
-            handover.interim = handover.interim.min(newer.own);
+            handover.interim_part = handover.interim_part.min(newer.own_part);
         }
         self.idle_level = level;
         self.idle_since = now;
-        self.own = newer.own;
+        self.own_part = newer.own_part;
         self.residency = newer.residency;
-        self.structure = newer.structure;
-        self.whole = newer.whole;
-        self.idle_level = self.idle_level.min(self.part(now, ready).capacity);
+        self.holders_hash = newer.holders_hash;
+        self.total = newer.total;
+        self.idle_level = self
+            .idle_level
+            .min(self.part_in_force(now, ready_at).capacity);
     }
 
-    fn settled_part(&self, now: Duration) -> AllowancePart {
+    /// Part by the configuration and the handover, without regard to a restart or a freeze.
+    fn configured_part(&self, now: Duration) -> AllowancePart {
         match &self.handover {
-            Some(handover) if now < handover.until => handover.interim,
-            _ => self.own,
+            Some(handover) if now < handover.ends_at => handover.interim_part,
+            _ => self.own_part,
         }
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_share.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share.rs
@@ -1,65 +1,76 @@
 use super::*;
 
-/// Allowance of one workspace that is in use on this VM.
+/// State of one workspace's allowance on this VM while the workspace is in use here.
 #[derive(Debug)]
 pub(crate) struct AllowanceShare {
+    /// Asks for leases that may still be answered.
     pub(crate) asks: Vec<OpenAsk>,
+    /// Leases from other holders.
     pub(crate) borrowed: Vec<BorrowedLease>,
+    /// Tokens of the own part and the borrowed leases.
     pub(crate) bucket: TokenBucket,
-    /// Claims that wait for the rate to serve them.
+    /// Claims that wait at this holder for tokens.
     pub(crate) claims: VecDeque<WaitingClaim>,
+    /// Demand for tokens at this VM, including claims that it counts.
     pub(crate) demand: DemandMeter,
-    /// When the first of the borrowed leases ends.
+    /// Expiry of the borrowed lease that expires first; [`Duration::MAX`] without leases.
     pub(crate) first_expiry: Duration,
-    pub(crate) grants: GrantBook,
+    /// Grants that this holder has made.
+    pub(crate) grants: GrantLedger,
     pub(crate) lender: AllowanceLender,
+    /// Claims of this VM's requests that may still be answered.
     pub(crate) open_claims: Vec<OpenClaim>,
-    /// Whether the holder of the own region has left a claim unanswered since its last answer.
-    pub(crate) own_is_silent: bool,
-    /// Micro-tokens of reservations that are not settled.
+    /// Whether the own region's holder has left a claim unanswered since its last answer.
+    pub(crate) is_own_holder_silent: bool,
+    /// Micro-tokens of reservations that are not settled yet.
     pub(crate) reserved: MicroTokens,
-    /// Before it, the other holders are not asked again for what claims wait for.
+    /// Time before which waiting claims cause no further asks to other holders.
     pub(crate) gather_after: Duration,
-    pub(crate) returns: Returns,
-    pub(crate) route: AllowanceRoute,
-    pub(crate) stock_after: Duration,
+    /// Retry times of refused claims.
+    pub(crate) retry_schedule: RetrySchedule,
+    pub(crate) holders: AllowanceHolders,
+    /// Time before which no further leases are prefetched.
+    pub(crate) prefetch_after: Duration,
+    /// Requests of this VM that wait for tokens.
     pub(crate) tickets: VecDeque<AllowanceTicket>,
-    /// When the share is next looked at.
+    /// Time of the next tick, as entered in [`Allowance`]'s timers.
     pub(crate) timer: Option<Duration>,
-    pub(crate) used: Duration,
-    pub(crate) whole: AllowancePart,
+    /// Time of the last request, claim or ask.
+    pub(crate) last_used: Duration,
+    /// Allowance of the workspace over the fleet.
+    pub(crate) total: AllowancePart,
     pub(crate) workspace: WorkspaceId,
 }
 
 impl AllowanceShare {
-    /// Share of a workspace that comes into use.
+    /// Creates an empty share for a workspace that comes into use on this VM.
     pub(crate) fn new(
         now: Duration,
         workspace: WorkspaceId,
-        route: AllowanceRoute,
-        whole: AllowancePart,
+        holders: AllowanceHolders,
+        total: AllowancePart,
         cx: &mut AllowanceCx,
     ) -> Self {
         Self {
             asks: Vec::new(),
             borrowed: Vec::new(),
-            bucket: TokenBucket::new(now, cx.next()),
+            bucket: TokenBucket::new(now, cx.next_sequence()),
             claims: VecDeque::new(),
             demand: DemandMeter::default(),
             first_expiry: Duration::MAX,
-            grants: GrantBook::default(),
+            grants: GrantLedger::default(),
             lender: AllowanceLender::default(),
             open_claims: Vec::new(),
-            own_is_silent: false,
+            is_own_holder_silent: false,
             reserved: 0,
             gather_after: now,
-            returns: Returns::default(),
-            route,
-            stock_after: now,
+            retry_schedule: RetrySchedule::default(),
+            holders,
+            prefetch_after: now,
             tickets: VecDeque::new(),
             timer: None,
-            used: now,
-            whole,
+            last_used: now,
+            total,
             workspace,
         }
     }
@@ -69,12 +80,12 @@
         self.own_holder() == Some(&cx.vm)
     }
 
-    /// Holder of the own region's part.
+    /// VM that holds the own region's part; `None` outside the residency.
     pub(crate) fn own_holder(&self) -> Option<&VmId> {
-        self.route.own.as_ref().map(|(holder, _)| holder)
+        self.holders.own_region.as_ref().map(|(holder, _)| holder)
     }
 
-    /// Drops what has ended.
+    /// Removes expired borrowed leases, lent leases and grants.
     pub(crate) fn expire(&mut self, now: Duration, cx: &mut AllowanceCx) {
         if self.first_expiry <= now {
             self.expire_borrowed(now);
@@ -83,27 +94,28 @@
         self.grants.expire(now, &mut self.bucket, cx);
     }
 
+    /// Removes expired borrowed leases from the bucket.
     fn expire_borrowed(&mut self, now: Duration) {
-        self.borrowed.sort_by_key(|lease| lease.expires);
+        self.borrowed.sort_by_key(|lease| lease.expires_at);
         let bucket = &mut self.bucket;
         self.borrowed.retain(|lease| {
-            let lasts = now < lease.expires;
+            let lasts = now < lease.expires_at;
             if !lasts {
-                // The rate counts until the end of the lease, not until it was noticed.
-                bucket.take(lease.expires, lease.part, 0);
+                // The lease accrues tokens until it expires, not until the expiry is noticed.
+                bucket.remove(lease.expires_at, lease.part, 0);
             }
             lasts
         });
-        self.note_expiry();
+        self.update_first_expiry();
     }
 
-    /// Keeps the time of the first end up to date.
-    pub(crate) fn note_expiry(&mut self) {
-        let first = self.borrowed.iter().map(|lease| lease.expires).min();
+    /// Recomputes the expiry of the borrowed lease that expires first.
+    pub(crate) fn update_first_expiry(&mut self) {
+        let first = self.borrowed.iter().map(|lease| lease.expires_at).min();
         self.first_expiry = first.unwrap_or(Duration::MAX);
     }
 
-    /// Ends a reservation of which `used` tokens were used.
+    /// Settles a reservation of which `used` tokens were spent, and returns the rest.
     pub(crate) fn settle(
         &mut self,
         now: Duration,
@@ -119,13 +131,13 @@
         match reservation.grant {
             Some(grant) => {
                 let tokens = unused;
-                self.refund(now, &HeldGrant { tokens, ..grant }, cx);
+                self.return_grant(now, &HeldGrant { tokens, ..grant }, cx);
             }
             None => self.bucket.refund(now, reservation.mark, unused),
         }
     }
 
-    /// What operators see.
+    /// Snapshot for the operators' status page.
     pub(crate) fn status(&self) -> AllowanceStatus {
         AllowanceStatus {
             held: self.bucket.part(),
@@ -136,9 +148,10 @@
         }
     }
 
+    /// Takes tokens from the bucket for a request; `None` if it holds too few.
     pub(crate) fn reserve(&mut self, tokens: Tokens, cx: &mut AllowanceCx) -> Option<Reservation> {
         let need = tokens.saturating_mul(AllowancePart::SCALE);
-        let mark = cx.next();
+        let mark = cx.next_sequence();
         if !self.bucket.reserve(mark, need) {
             return None;
         }
--- a/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
@@ -1,12 +1,12 @@
-//! How a share asks for leases, renews them and gives them back.
+//! Borrower's side of a share: asking for leases, renewing and returning them.
 
 use super::*;
 
 impl AllowanceShare {
-    /// Asks the other holders for a part of theirs when the own one does not meet the demand, so that
-    /// the next requests need not wait.
-    pub(crate) fn ask_for_stock(&mut self, now: Duration, cx: &mut AllowanceCx) {
-        if now < self.stock_after || !self.is_holder(cx) {
+    /// Asks the other holders for leases ahead of need if the demand exceeds the rate or the bucket
+    /// runs low, so that the next requests need not wait.
+    pub(crate) fn prefetch_leases(&mut self, now: Duration, cx: &mut AllowanceCx) {
+        if now < self.prefetch_after || !self.is_holder(cx) {
             return;
         }
         let part = self.bucket.part();
@@ -14,14 +14,14 @@
         if !slow && self.bucket.level() > part.capacity / 4 {
             return;
         }
-        self.stock_after = now + LeaseTerms::STOCK;
-        for (to, _) in self.route.others.clone() {
+        self.prefetch_after = now + LeaseTerms::PREFETCH_INTERVAL;
+        for (to, _) in self.holders.other_regions.clone() {
             self.send_ask(now, &to, 0, now, cx);
         }
     }
 
-    /// Takes a lease, if it answers an ask that is open.
-    pub(crate) fn take_lease(
+    /// Adds a lease if it answers an open ask.
+    pub(crate) fn handle_lend(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -33,51 +33,53 @@
         let is_answered = |open: &OpenAsk| {
             ask.incarnation == cx.incarnation && ask.sequence == open.sequence && open.to == *from
         };
-        // A duplicate finds its ask closed. It must bring nothing: the tokens are here already.
-        let Some(place) = self.asks.iter().position(is_answered) else {
+        // The ask of a duplicate is closed already. Its tokens are in the bucket, so it must add
+        // none.
+        let Some(index) = self.asks.iter().position(is_answered) else {
             return;
         };
-        let asked_at = self.asks.swap_remove(place).asked_at;
-        // Counted from the ask: the lender counts from when it lent, which is later, so its end
-        // comes after ours however long the answer was on its way.
-        let expires = asked_at + LeaseTerms::LENGTH;
+        let asked_at = self.asks.swap_remove(index).asked_at;
+        // Counted from the ask: the lender counts from the later moment at which it lent, so the
+        // lease expires here first, however long the answer took.
+        let expires = asked_at + LeaseTerms::BORROWER_TERM;
         let (part, tokens) = granted;
         if expires <= now {
             return;
         }
-        self.bucket.put(now, part, tokens);
+        self.bucket.add(now, part, tokens);
         if part != AllowancePart::ZERO {
-            self.note_lease(asked_at, from, lease, part);
+            self.add_lease(asked_at, from, lease, part);
         }
         self.serve_claims(now, cx);
     }
 
-    fn note_lease(&mut self, asked_at: Duration, from: &VmId, lease: LeaseId, part: AllowancePart) {
+    /// Stores a lease with its expiry and renewal time.
+    fn add_lease(&mut self, asked_at: Duration, from: &VmId, lease: LeaseId, part: AllowancePart) {
         self.borrowed.push(BorrowedLease {
-            expires: asked_at + LeaseTerms::LENGTH,
+            expires_at: asked_at + LeaseTerms::BORROWER_TERM,
             id: lease,
             lender: from.clone(),
             part,
-            renew_at: BorrowedLease::renewal(asked_at),
+            renew_at: BorrowedLease::renewal_time(asked_at),
         });
-        self.note_expiry();
+        self.update_first_expiry();
     }
 
-    /// Notes that leases last longer.
-    pub(crate) fn note_renewal(&mut self, from: &VmId, asked_at: Duration, leases: &[LeaseId]) {
+    /// Extends leases that their lender has renewed.
+    pub(crate) fn handle_renewed(&mut self, from: &VmId, asked_at: Duration, leases: &[LeaseId]) {
         let renewed = self
             .borrowed
             .iter_mut()
             .filter(|lease| lease.lender == *from && leases.contains(&lease.id));
         for lease in renewed {
-            lease.expires = lease.expires.max(asked_at + LeaseTerms::LENGTH);
-            lease.renew_at = BorrowedLease::renewal(asked_at);
+            lease.expires_at = lease.expires_at.max(asked_at + LeaseTerms::BORROWER_TERM);
+            lease.renew_at = BorrowedLease::renewal_time(asked_at);
         }
-        self.note_expiry();
+        self.update_first_expiry();
     }
 
-    /// Gives back the leases of `lender` beyond `keep`, with their tokens.
-    pub(crate) fn give_back(
+    /// Returns to `lender` the leased part beyond `keep`, and as many tokens as it can take.
+    pub(crate) fn return_leases(
         &mut self,
         now: Duration,
         lender: &VmId,
@@ -86,20 +88,20 @@
         cx: &mut AllowanceCx,
     ) {
         self.bucket.advance(now);
-        let (mut left, mut tokens) = self.surplus(lender, keep, room);
+        let (mut left, mut tokens) = self.compute_surplus(lender, keep, room);
         let mut leases = Vec::new();
         let lent = self.borrowed.iter_mut().filter(|l| l.lender == *lender);
         for lease in lent {
-            let (given, back) = lease.give(&mut left, &mut tokens, cx);
-            // Debited before it is sent, like a lease.
-            self.bucket.take(now, given, back.tokens);
-            if given != AllowancePart::ZERO || back.tokens > 0 {
-                leases.push(back);
+            let (released, returned) = lease.release(&mut left, &mut tokens, cx);
+            // Debited before the message is sent, so that a lost message never duplicates tokens.
+            self.bucket.remove(now, released, returned.tokens);
+            if released != AllowancePart::ZERO || returned.tokens > 0 {
+                leases.push(returned);
             }
         }
         self.borrowed
             .retain(|lease| lease.part != AllowancePart::ZERO);
-        self.note_expiry();
+        self.update_first_expiry();
         if leases.is_empty() && recall.is_none() {
             return;
         }
@@ -109,11 +111,11 @@
             leases,
             recall,
         };
-        cx.send(lender, &self.workspace, action);
+        cx.queue_item(lender, &self.workspace, action);
     }
 
-    /// Gives back what a recall asks for; all of it if no request came lately.
-    pub(crate) fn take_recall(
+    /// Answers a recall. Without a request for [`LeaseTerms::QUIET_THRESHOLD`], all is returned.
+    pub(crate) fn handle_recall(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -121,26 +123,27 @@
         (keep, room): (AllowancePart, MicroTokens),
         cx: &mut AllowanceCx,
     ) {
-        let quiet = now.saturating_sub(self.used) >= LeaseTerms::QUIET;
+        let quiet = now.saturating_sub(self.last_used) >= LeaseTerms::QUIET_THRESHOLD;
         let keep = if quiet { AllowancePart::ZERO } else { keep };
-        self.give_back(now, from, (keep, room), Some(recall), cx);
+        self.return_leases(now, from, (keep, room), Some(recall), cx);
     }
 
-    /// Gives back all leases.
-    pub(crate) fn give_all_back(&mut self, now: Duration, cx: &mut AllowanceCx) {
+    /// Returns all leases to their lenders.
+    pub(crate) fn return_all_leases(&mut self, now: Duration, cx: &mut AllowanceCx) {
         let lenders: BTreeSet<VmId> = self.borrowed.iter().map(|l| l.lender.clone()).collect();
         for lender in lenders {
-            self.give_back(now, &lender, (AllowancePart::ZERO, 0), None, cx);
+            self.return_leases(now, &lender, (AllowancePart::ZERO, 0), None, cx);
         }
     }
 
-    /// Renews leases that are due; gives back those of a workspace that hardly uses them.
-    pub(crate) fn renew(&mut self, now: Duration, cx: &mut AllowanceCx) {
+    /// Renews the leases that are due; returns all of them instead if the workspace is idle or has
+    /// too many.
+    pub(crate) fn renew_leases(&mut self, now: Duration, cx: &mut AllowanceCx) {
         if self.borrowed.iter().all(|lease| now < lease.renew_at) {
             return;
         }
-        if !self.needs_leases(now) {
-            self.give_all_back(now, cx);
+        if !self.can_keep_leases(now) {
+            self.return_all_leases(now, cx);
         }
         let demand = self.demand.rate(now);
         let mut due: BTreeMap<VmId, Vec<LeaseHold>> = BTreeMap::new();
@@ -163,30 +166,34 @@
                 demand,
                 leases,
             };
-            cx.send(&lender, &self.workspace, action);
+            cx.queue_item(&lender, &self.workspace, action);
         }
     }
 
-    /// Drops asks whose answer could bring nothing any more.
-    pub(crate) fn forget_asks(&mut self, now: Duration) {
+    /// Forgets asks whose answer would come after the lease's expiry.
+    pub(crate) fn drop_expired_asks(&mut self, now: Duration) {
         self.asks
-            .retain(|ask| now < ask.asked_at + LeaseTerms::LENGTH);
+            .retain(|ask| now < ask.asked_at + LeaseTerms::BORROWER_TERM);
     }
 
-    /// What can go back to `lender`, which has `room` for tokens without capacity: all beyond
-    /// `keep`, and the tokens, but for what the kept rate fills in a short time. The room that
-    /// unsettled reservations may pay back into stays: without it their refunds would be lost. So does
-    /// that of grants that may still be spent.
-    fn surplus(
+    /// Part and micro-tokens that can go back to `lender`, whose bucket has `room` for tokens
+    /// beyond the returned capacity.
+    ///
+    /// All beyond `keep` goes back, and the tokens, except for the capacity that the kept rate
+    /// fills within [`LeaseTerms::RECALL_FILL_TIME`]. Capacity stays for unsettled reservations,
+    /// whose refunds would otherwise be lost, and for grants that may still be spent.
+    fn compute_surplus(
         &self,
         lender: &VmId,
         keep: AllowancePart,
         room: MicroTokens,
     ) -> (AllowancePart, MicroTokens) {
         let lent = self.borrowed.iter().filter(|l| l.lender == *lender);
-        let has = lent.fold(AllowancePart::ZERO, |sum, lease| sum.plus(lease.part));
+        let has = lent.fold(AllowancePart::ZERO, |sum, lease| {
+            sum.saturating_add(lease.part)
+        });
         let keep = keep.min(has);
-        let least = keep.accrual(LeaseTerms::KEPT).min(has.capacity);
+        let least = keep.accrual(LeaseTerms::RECALL_FILL_TIME).min(has.capacity);
         let level = self.bucket.level();
         let slack = self.bucket.part().capacity.saturating_sub(level);
         let kept = self.reserved.saturating_add(self.bucket.locked());
@@ -194,14 +201,16 @@
         let most = has.capacity - tokens.saturating_sub(room);
         let capacity = keep.capacity.max(slack.min(kept)).clamp(least, most);
         let rate = keep.rate;
-        (has.minus(AllowancePart { capacity, rate }), tokens)
+        (has.saturating_sub(AllowancePart { capacity, rate }), tokens)
     }
 
-    fn needs_leases(&self, now: Duration) -> bool {
-        let idle = now.saturating_sub(self.used) >= LeaseTerms::IDLE;
-        !idle && self.borrowed.len() <= LeaseTerms::LEASES
+    /// Whether the workspace is in use and its leases are few enough to keep.
+    fn can_keep_leases(&self, now: Duration) -> bool {
+        let idle = now.saturating_sub(self.last_used) >= LeaseTerms::IDLE_TIMEOUT;
+        !idle && self.borrowed.len() <= LeaseTerms::MAX_LEASES
     }
 
+    /// Sends an ask for a lease and remembers it until it is answered.
     pub(crate) fn send_ask(
         &mut self,
         now: Duration,
@@ -210,7 +219,7 @@
         awaited_until: Duration,
         cx: &mut AllowanceCx,
     ) {
-        let sequence = cx.next();
+        let sequence = cx.next_sequence();
         self.asks.push(OpenAsk {
             asked_at: now,
             awaited_until,
@@ -226,6 +235,6 @@
             need,
             room: self.bucket.room(),
         };
-        cx.send(to, &self.workspace, action);
+        cx.queue_item(to, &self.workspace, action);
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_share_claim.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_claim.rs
@@ -1,59 +1,61 @@
-//! How a share gets the tokens of its requests from the holders.
+//! Requests of a share: taking their tokens from the bucket or claiming them from holders.
 
 use super::*;
 
 impl AllowanceShare {
-    /// Admits a request, or lets it wait while holders are asked.
+    /// Admits a request if the bucket holds its tokens; otherwise claims them from holders.
     pub(crate) fn admit(
         &mut self,
         now: Duration,
         tokens: Tokens,
         cx: &mut AllowanceCx,
     ) -> Admission {
-        // A VM that was frozen past a lease's end must not spend it: the lender has it back.
+        // A VM that was frozen past a lease's expiry must not spend it: the lender has reclaimed
+        // it.
         self.expire(now, cx);
         self.bucket.advance(now);
-        self.used = now;
+        self.last_used = now;
         let need = tokens.saturating_mul(AllowancePart::SCALE);
-        if need > self.whole.capacity {
+        if need > self.total.capacity {
             let retry_after = Duration::MAX;
             return Admission::Refused { retry_after };
         }
         if self.claims.is_empty()
             && let Some(reservation) = self.reserve(tokens, cx)
         {
-            self.demand.add(now, need);
-            self.ask_for_stock(now, cx);
+            self.demand.record(now, need);
+            self.prefetch_leases(now, cx);
             return Admission::Granted(reservation);
         }
-        let id = TicketId(cx.next());
-        let round = match self.route.own.is_none() || self.own_is_silent {
-            true => ClaimRound::All,
-            false => ClaimRound::Own,
+        let id = TicketId(cx.next_sequence());
+        let round = match self.holders.own_region.is_none() || self.is_own_holder_silent {
+            true => ClaimRound::AllHolders,
+            false => ClaimRound::OwnHolder,
         };
         self.tickets.push_back(AllowanceTicket {
-            deadline: now + cx.ticket_wait(),
+            deadline: now + cx.ticket_timeout(),
             id,
             retry_after: Duration::MAX,
             round,
             tokens,
         });
-        self.claim(now, id, self.holders(round), need, cx);
-        self.answer_at_once(id, cx)
+        self.send_claims(now, id, self.holders_to_claim(round), need, cx);
+        self.take_immediate_answer(id, cx)
     }
 
-    /// Goes on with what waits: admits, asks the other holders, then refuses.
-    pub(crate) fn pursue(&mut self, now: Duration, cx: &mut AllowanceCx) {
+    /// Moves each waiting request on to the next round of claims, or refuses it after the last.
+    pub(crate) fn advance_tickets(&mut self, now: Duration, cx: &mut AllowanceCx) {
         self.expire(now, cx);
-        self.note_silence(now);
+        self.detect_silent_holder(now);
         let waiting: Vec<TicketId> = self.tickets.iter().map(|ticket| ticket.id).collect();
         for id in waiting {
-            self.pursue_ticket(now, id, cx);
+            self.advance_ticket(now, id, cx);
         }
     }
 
-    /// Takes the answer to a claim.
-    pub(crate) fn take_grant(
+    /// Handles a holder's answer to a claim: admits the request, or returns tokens that come too
+    /// late.
+    pub(crate) fn handle_grant(
         &mut self,
         now: Duration,
         claim: AskId,
@@ -66,35 +68,36 @@
                 && open.ticket.0 == claim.sequence
                 && open.to == grant.holder
         };
-        // A duplicate finds its claim closed. It must bring nothing: the tokens may be spent.
-        let Some(place) = self.open_claims.iter().position(answered) else {
+        // The claim of a duplicate is closed already. Its tokens may be spent, so it must grant
+        // none.
+        let Some(index) = self.open_claims.iter().position(answered) else {
             return;
         };
-        let asked_at = self.open_claims.swap_remove(place).asked_at;
+        let asked_at = self.open_claims.swap_remove(index).asked_at;
         if self.own_holder() == Some(&grant.holder) {
-            self.own_is_silent = false;
+            self.is_own_holder_silent = false;
         }
-        // Counted from the claim: the holder counts from the grant, which is later.
-        let until = asked_at + LeaseTerms::GRANT;
+        // Counted from the claim: the holder counts from the later moment of the grant.
+        let until = asked_at + LeaseTerms::GRANT_TERM;
         let id = TicketId(claim.sequence);
         match self.tickets.iter_mut().find(|ticket| ticket.id == id) {
             Some(_) if grant.tokens > 0 && now < until => self.admit_ticket(id, grant, cx),
             Some(ticket) => {
                 ticket.retry_after = ticket.retry_after.min(retry_after);
-                self.refund(now, &grant, cx);
-                self.pursue_ticket(now, id, cx);
+                self.return_grant(now, &grant, cx);
+                self.advance_ticket(now, id, cx);
             }
-            None => self.refund(now, &grant, cx),
+            None => self.return_grant(now, &grant, cx),
         }
     }
 
-    /// Gives up a waiting request.
-    pub(crate) fn cancel(&mut self, ticket: TicketId) {
+    /// Forgets a waiting request whose caller has given up. A later grant for it is returned.
+    pub(crate) fn cancel_ticket(&mut self, ticket: TicketId) {
         self.tickets.retain(|waiting| waiting.id != ticket);
     }
 
-    /// Refuses all that waits.
-    pub(crate) fn refuse_all(&mut self, retry_after: Duration, cx: &mut AllowanceCx) {
+    /// Refuses all waiting requests.
+    pub(crate) fn refuse_all_tickets(&mut self, retry_after: Duration, cx: &mut AllowanceCx) {
         let refused = self
             .tickets
             .drain(..)
@@ -105,31 +108,39 @@
         cx.outputs.extend(refused);
     }
 
-    /// Gives tokens back to the holder that granted them.
-    pub(crate) fn refund(&mut self, now: Duration, unspent: &HeldGrant, cx: &mut AllowanceCx) {
+    /// Returns unspent tokens to the holder that granted them.
+    pub(crate) fn return_grant(
+        &mut self,
+        now: Duration,
+        unspent: &HeldGrant,
+        cx: &mut AllowanceCx,
+    ) {
         if unspent.tokens == 0 {
             return;
         }
         let refund = GrantRefund {
             grant: unspent.grant,
-            sequence: cx.next(),
+            sequence: cx.next_sequence(),
             tokens: unspent.tokens,
         };
         if unspent.holder == cx.vm {
-            self.take_refund(now, refund, cx);
+            self.handle_refund(now, refund, cx);
         } else {
             let action = AllowanceAction::Refund(refund);
-            cx.send(&unspent.holder, &self.workspace, action);
+            cx.queue_item(&unspent.holder, &self.workspace, action);
         }
     }
 
-    /// Drops claims that will not be answered. An answer that comes too late is still given back.
-    pub(crate) fn forget_claims(&mut self, now: Duration) {
+    /// Forgets claims after twice [`LeaseTerms::GRANT_TERM`]. Until then, tokens that come too late
+    /// to be spent are returned.
+    pub(crate) fn drop_expired_claims(&mut self, now: Duration) {
         self.open_claims
-            .retain(|claim| now < claim.asked_at + LeaseTerms::GRANT * 2);
+            .retain(|claim| now < claim.asked_at + LeaseTerms::GRANT_TERM * 2);
     }
 
-    fn pursue_ticket(&mut self, now: Duration, id: TicketId, cx: &mut AllowanceCx) {
+    /// Claims from the other holders once the own one is late, and refuses the request once all
+    /// are.
+    fn advance_ticket(&mut self, now: Duration, id: TicketId, cx: &mut AllowanceCx) {
         let is_awaited = |claim: &OpenClaim| claim.ticket == id && now < claim.awaited_until;
         let awaited = self.open_claims.iter().any(is_awaited);
         let Some(ticket) = self.tickets.iter_mut().find(|ticket| ticket.id == id) else {
@@ -138,20 +149,21 @@
         if awaited && now < ticket.deadline {
             return;
         }
-        if now >= ticket.deadline || ticket.round == ClaimRound::All {
+        if now >= ticket.deadline || ticket.round == ClaimRound::AllHolders {
             self.refuse_ticket(id, cx);
             return;
         }
-        ticket.round = ClaimRound::All;
+        ticket.round = ClaimRound::AllHolders;
         let need = ticket.need();
         let open = self.open_claims.iter_mut();
         open.filter(|claim| claim.ticket == id)
             .for_each(|claim| claim.awaited_until = claim.answered_by());
-        self.claim(now, id, self.route.others.clone(), need, cx);
+        self.send_claims(now, id, self.holders.other_regions.clone(), need, cx);
     }
 
+    /// Admits a waiting request with the tokens of a grant.
     fn admit_ticket(&mut self, id: TicketId, grant: HeldGrant, cx: &mut AllowanceCx) {
-        let Some(ticket) = self.take_ticket(id) else {
+        let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
         self.reserved = self.reserved.saturating_add(ticket.need());
@@ -167,27 +179,29 @@
         });
     }
 
+    /// Refuses a waiting request, with the shortest retry time that a holder gave.
     fn refuse_ticket(&mut self, id: TicketId, cx: &mut AllowanceCx) {
-        let Some(ticket) = self.take_ticket(id) else {
+        let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
-        let by_rate = time_for(ticket.need(), self.whole.rate);
-        let told = Some(ticket.retry_after).filter(|told| *told < Duration::MAX);
+        let by_rate = accrual_time(ticket.need(), self.total.rate);
+        let by_holder = Some(ticket.retry_after).filter(|by_holder| *by_holder < Duration::MAX);
         cx.outputs.push(AllowanceOutput::Refused {
-            retry_after: told.unwrap_or(by_rate),
+            retry_after: by_holder.unwrap_or(by_rate),
             ticket: id,
         });
     }
 
-    fn take_ticket(&mut self, id: TicketId) -> Option<AllowanceTicket> {
-        let place = self.tickets.iter().position(|ticket| ticket.id == id)?;
-        self.tickets.remove(place)
+    /// Removes a waiting request.
+    fn remove_ticket(&mut self, id: TicketId) -> Option<AllowanceTicket> {
+        let index = self.tickets.iter().position(|ticket| ticket.id == id)?;
+        self.tickets.remove(index)
     }
 
-    /// Turns the answer to a request that need not wait after all into a direct one.
-    fn answer_at_once(&self, id: TicketId, cx: &mut AllowanceCx) -> Admission {
-        let place = cx.outputs.iter().position(|out| out.ticket() == Some(id));
-        match place.map(|place| cx.outputs.remove(place)) {
+    /// Returns the answer directly if a request was decided while its claims were sent.
+    fn take_immediate_answer(&self, id: TicketId, cx: &mut AllowanceCx) -> Admission {
+        let index = cx.outputs.iter().position(|out| out.ticket() == Some(id));
+        match index.map(|index| cx.outputs.remove(index)) {
             Some(AllowanceOutput::Admitted { reservation, .. }) => Admission::Granted(reservation),
             Some(AllowanceOutput::Refused { retry_after, .. }) => {
                 Admission::Refused { retry_after }
@@ -196,16 +210,22 @@
         }
     }
 
-    /// Holders to ask in a round, with the time that their answers take at most.
-    fn holders(&self, round: ClaimRound) -> Vec<(VmId, Duration)> {
+    /// Holders to claim from in a round, each with the longest time to wait for its answer.
+    fn holders_to_claim(&self, round: ClaimRound) -> Vec<(VmId, Duration)> {
         let others = match round {
-            ClaimRound::Own => &[],
-            ClaimRound::All => self.route.others.as_slice(),
+            ClaimRound::OwnHolder => &[],
+            ClaimRound::AllHolders => self.holders.other_regions.as_slice(),
         };
-        self.route.own.iter().chain(others).cloned().collect()
+        self.holders
+            .own_region
+            .iter()
+            .chain(others)
+            .cloned()
+            .collect()
     }
 
-    fn claim(
+    /// Claims a request's tokens from the holders in `to`, one of which may be this VM.
+    fn send_claims(
         &mut self,
         now: Duration,
         ticket: TicketId,
@@ -228,26 +248,27 @@
         let first = self.first_holder().cloned();
         for (holder, _) in to {
             if holder == cx.vm {
-                self.take_claim(now, claim, holder, true, need, cx);
+                self.handle_claim(now, claim, holder, true, need, cx);
                 continue;
             }
             let first = first.as_ref() == Some(&holder);
             let action = AllowanceAction::Claim { claim, first, need };
-            cx.send(&holder, &self.workspace, action);
+            cx.queue_item(&holder, &self.workspace, action);
         }
     }
 
-    /// The holder that is to count a request among the demand of its region.
+    /// Holder that counts a request as demand of its region: the own one, or another if that is
+    /// silent.
     fn first_holder(&self) -> Option<&VmId> {
-        let own = self.own_holder().filter(|_| !self.own_is_silent);
-        own.or_else(|| self.route.others.first().map(|(holder, _)| holder))
+        let own = self.own_holder().filter(|_| !self.is_own_holder_silent);
+        own.or_else(|| self.holders.other_regions.first().map(|(holder, _)| holder))
     }
 
-    /// Notes that the holder of the own region has left a claim unanswered: what comes next is claimed
-    /// from the others at the same time.
-    fn note_silence(&mut self, now: Duration) {
+    /// Detects that the own region's holder has left a claim unanswered. Later requests are then
+    /// claimed from the other holders at the same time.
+    fn detect_silent_holder(&mut self, now: Duration) {
         let own = self.own_holder();
-        self.own_is_silent |= self
+        self.is_own_holder_silent |= self
             .open_claims
             .iter()
             .any(|claim| Some(&claim.to) == own && claim.answered_by() <= now);
--- a/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
@@ -1,12 +1,13 @@
-//! How a share that holds a part answers claims.
+//! Holder's side of a share: answering claims with grants.
 
 use super::*;
 
 impl AllowanceShare {
-    /// Takes a claim. It is answered once there is enough, or as soon as it is known that there will not
-    /// be within [`LeaseTerms::QUEUE`]. A holder that must leave its part unused answers at once: those of the
-    /// other regions can be asked.
-    pub(crate) fn take_claim(
+    /// Queues a claim. It is granted once there are enough tokens, or refused as soon as it is
+    /// clear that there won't be within [`LeaseTerms::MAX_QUEUE_WAIT`]. A holder that must leave
+    /// its part unused refuses at once, so that the claimant can ask the holders of the other
+    /// regions.
+    pub(crate) fn handle_claim(
         &mut self,
         now: Duration,
         claim: AskId,
@@ -15,14 +16,14 @@
         need: MicroTokens,
         cx: &mut AllowanceCx,
     ) {
-        self.used = now;
+        self.last_used = now;
         if first {
-            self.demand.add(now, need);
+            self.demand.record(now, need);
         }
         let rate = self.bucket.part().rate;
-        let is_large = first && time_for(need, rate) > LeaseTerms::QUEUE;
+        let is_large = first && accrual_time(need, rate) > LeaseTerms::MAX_QUEUE_WAIT;
         let rounds = if is_large { 2 } else { 0 };
-        if self.lender.is_resting() {
+        if self.lender.has_no_part() {
             let claim = WaitingClaim::new(now, claim, from, first, need, rounds);
             self.answer_claim(now, &claim, 0, 0, Duration::MAX, cx);
             return;
@@ -30,36 +31,39 @@
         self.claims
             .push_back(WaitingClaim::new(now, claim, from, first, need, rounds));
         if first {
-            self.ask_for_stock(now, cx);
+            self.prefetch_leases(now, cx);
         }
         self.serve_claims(now, cx);
     }
 
-    /// Answers the claims that can be, in their order. What lies idle with other holders is no reason to
-    /// refuse, so they are asked first.
+    /// Grants the claims that the bucket covers, in order. For the rest it gathers tokens from
+    /// other holders before it refuses: a claim must not fail while tokens lie idle elsewhere.
     pub(crate) fn serve_claims(&mut self, now: Duration, cx: &mut AllowanceCx) {
         self.bucket.advance(now);
-        while let Some(claim) = self.take_servable() {
+        while let Some(claim) = self.pop_servable_claim() {
             let grant = self.grants.grant(now, claim.need, &mut self.bucket, cx);
             self.answer_claim(now, &claim, claim.need, grant, Duration::ZERO, cx);
         }
         if !self.claims.is_empty() {
-            self.gather(now, cx);
-            self.refuse_hopeless(now, cx);
+            self.gather_tokens(now, cx);
+            self.refuse_unservable(now, cx);
         }
     }
 
-    /// Takes back what was granted and not spent.
-    pub(crate) fn take_refund(&mut self, now: Duration, refund: GrantRefund, cx: &AllowanceCx) {
+    /// Credits unspent tokens of a grant made by this start of the VM.
+    pub(crate) fn handle_refund(&mut self, now: Duration, refund: GrantRefund, cx: &AllowanceCx) {
         if refund.grant.incarnation == cx.incarnation {
             self.grants.refund(now, &refund, &mut self.bucket);
         }
     }
 
-    /// When a claim that waits is to be looked at.
+    /// Time at which a waiting claim can be granted or must be refused; `None` if none waits.
     pub(crate) fn claims_deadline(&self, now: Duration) -> Option<Duration> {
         let front = self.claims.front()?;
-        let filled = self.bucket.time_until(front.need).map(|wait| now + wait);
+        let filled = self
+            .bucket
+            .time_until_level(front.need)
+            .map(|wait| now + wait);
         let answers = self.asks.iter().map(|ask| ask.awaited_until);
         let answers = answers.filter(|at| *at > now).max();
         [filled, answers, Some(front.deadline)]
@@ -68,74 +72,77 @@
             .min()
     }
 
-    /// The first claim that there is enough for. One that waits for the other holders lets those behind it
-    /// pass: the tokens that are here would lie idle until the answers come.
-    fn take_servable(&mut self) -> Option<WaitingClaim> {
+    /// Removes the first claim that the bucket covers. A claim that waits for other holders lets
+    /// later ones pass, since the tokens here would otherwise lie idle until the answers arrive.
+    fn pop_servable_claim(&mut self) -> Option<WaitingClaim> {
         let level = self.bucket.level();
-        let place = self
+        let index = self
             .claims
             .iter()
             .position(|claim| claim.need <= level || !claim.waits_for_others)?;
-        match self.claims[place].need <= level {
-            true => self.claims.remove(place),
+        match self.claims[index].need <= level {
+            true => self.claims.remove(index),
             false => None,
         }
     }
 
-    /// Asks the other holders for what the claims lack, and calls back what they have of the own part.
-    fn gather(&mut self, now: Duration, cx: &mut AllowanceCx) {
-        let first = self.claims.iter().filter(|claim| claim.first);
+    /// Asks the other holders for the tokens that waiting claims lack, and recalls leases of the
+    /// own part.
+    fn gather_tokens(&mut self, now: Duration, cx: &mut AllowanceCx) {
+        let first = self.claims.iter().filter(|claim| claim.is_first);
         let need: MicroTokens = first.map(|claim| claim.need).sum();
         let lacks = need.saturating_sub(self.bucket.level());
-        let served_by_rate = time_for(lacks, self.bucket.part().rate) <= LeaseTerms::QUEUE;
+        let served_by_rate =
+            accrual_time(lacks, self.bucket.part().rate) <= LeaseTerms::MAX_QUEUE_WAIT;
         if served_by_rate || now < self.gather_after || self.is_gathering(now) {
             return;
         }
-        self.gather_after = now + LeaseTerms::RECALL;
+        self.gather_after = now + LeaseTerms::RECALL_INTERVAL;
         for claim in &mut self.claims {
-            claim.waits_for_others = claim.rounds > 0;
-            claim.rounds = claim.rounds.saturating_sub(1);
+            claim.waits_for_others = claim.rounds_left > 0;
+            claim.rounds_left = claim.rounds_left.saturating_sub(1);
         }
         let own = cx.vm.clone();
-        self.call_back(now, &own, cx);
-        for (to, _) in self.route.others.clone() {
-            let awaited_until = now + cx.recall_wait();
+        self.recall_leases(now, &own, cx);
+        for (to, _) in self.holders.other_regions.clone() {
+            let awaited_until = now + cx.recall_timeout();
             self.send_ask(now, &to, lacks, awaited_until, cx);
         }
     }
 
-    /// Whether tokens of other holders may still come for claims that wait.
+    /// Whether tokens from other holders may still arrive for waiting claims.
     fn is_gathering(&mut self, now: Duration) -> bool {
         self.asks.iter().any(|ask| now < ask.awaited_until) || self.lender.is_recalling(now)
     }
 
-    /// Refuses the claims that the rate will not serve in time, but those for which the other holders can
-    /// still be asked.
-    fn refuse_hopeless(&mut self, now: Duration, cx: &mut AllowanceCx) {
+    /// Refuses claims that the rate won't serve in time, except those that can still wait for
+    /// tokens from other holders.
+    fn refuse_unservable(&mut self, now: Duration, cx: &mut AllowanceCx) {
         let rate = self.bucket.part().rate;
         let is_gathering = self.is_gathering(now);
         let may_gather = is_gathering || now >= self.gather_after;
         let mut ahead = 0;
-        let mut hopeless = Vec::new();
+        let mut unservable = Vec::new();
         self.claims.retain(|claim| {
             let lacks = (ahead + claim.need).saturating_sub(self.bucket.level());
             let for_others =
-                (is_gathering && claim.waits_for_others) || (may_gather && claim.rounds > 0);
-            let by_rate = time_for(lacks, rate) <= LeaseTerms::QUEUE;
+                (is_gathering && claim.waits_for_others) || (may_gather && claim.rounds_left > 0);
+            let by_rate = accrual_time(lacks, rate) <= LeaseTerms::MAX_QUEUE_WAIT;
             let waits = now < claim.deadline && (for_others || by_rate);
             if waits {
                 ahead += claim.need;
             } else {
-                hopeless.push(claim.clone());
+                unservable.push(claim.clone());
             }
             waits
         });
-        for claim in hopeless {
-            let retry_after = self.returns.next(now, claim.need, rate);
+        for claim in unservable {
+            let retry_after = self.retry_schedule.schedule_retry(now, claim.need, rate);
             self.answer_claim(now, &claim, 0, 0, retry_after, cx);
         }
     }
 
+    /// Sends the answer to a claim, or handles it at once if the claimant is this VM.
     fn answer_claim(
         &mut self,
         now: Duration,
@@ -150,22 +157,22 @@
             incarnation,
             sequence,
         };
-        if claim.from == cx.vm {
-            let holder = claim.from.clone();
+        if claim.claimant == cx.vm {
+            let holder = claim.claimant.clone();
             let grant = HeldGrant {
                 grant,
                 holder,
                 tokens,
             };
-            self.take_grant(now, claim.claim, retry_after, grant, cx);
+            self.handle_grant(now, claim.id, retry_after, grant, cx);
             return;
         }
         let action = AllowanceAction::Grant {
-            claim: claim.claim,
+            claim: claim.id,
             grant,
             retry_after,
             tokens,
         };
-        cx.send(&claim.from, &self.workspace, action);
+        cx.queue_item(&claim.claimant, &self.workspace, action);
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_share_lend.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_lend.rs
@@ -1,10 +1,11 @@
-//! How a share that holds a part answers those who ask for it.
+//! Lender's side of a share: dispatching received protocol steps and answering asks, renewals and
+//! returns.
 
 use super::*;
 
 impl AllowanceShare {
-    /// Takes a message's item.
-    pub(crate) fn take_action(
+    /// Handles one received protocol step.
+    pub(crate) fn handle_action(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -17,9 +18,9 @@
                 demand,
                 need,
                 room,
-            } => self.take_ask(now, from, ask, demand, (need, room), cx),
+            } => self.handle_ask(now, from, ask, demand, (need, room), cx),
             AllowanceAction::Claim { claim, first, need } => {
-                self.take_claim(now, claim, from.clone(), first, need, cx);
+                self.handle_claim(now, claim, from.clone(), first, need, cx);
             }
             AllowanceAction::Grant {
                 claim,
@@ -32,10 +33,10 @@
                     holder: from.clone(),
                     tokens,
                 };
-                self.take_grant(now, claim, retry_after, held, cx);
+                self.handle_grant(now, claim, retry_after, held, cx);
             }
             AllowanceAction::Refund(refund) => {
-                self.take_refund(now, refund, cx);
+                self.handle_refund(now, refund, cx);
                 self.serve_claims(now, cx);
             }
             AllowanceAction::Lend {
@@ -43,27 +44,29 @@
                 lease,
                 part,
                 tokens,
-            } => self.take_lease(now, from, ask, lease, (part, tokens), cx),
+            } => self.handle_lend(now, from, ask, lease, (part, tokens), cx),
             AllowanceAction::Recall { keep, recall, room } => {
-                self.take_recall(now, from, recall, (keep, room), cx);
+                self.handle_recall(now, from, recall, (keep, room), cx);
             }
             AllowanceAction::Renew {
                 asked_at,
                 demand,
                 leases,
-            } => self.take_renewal(now, from, asked_at, demand, &leases, cx),
+            } => self.handle_renew(now, from, asked_at, demand, &leases, cx),
             AllowanceAction::Renewed { asked_at, leases } => {
-                self.note_renewal(from, asked_at, &leases);
+                self.handle_renewed(from, asked_at, &leases);
             }
             AllowanceAction::Return {
                 demand,
                 leases,
                 recall,
-            } => self.take_return(now, from, demand, &leases, recall, cx),
+            } => self.handle_return(now, from, demand, &leases, recall, cx),
         }
     }
 
-    fn take_ask(
+    /// Answers an ask with a lease, and recalls leases from other borrowers if there are too few
+    /// tokens.
+    fn handle_ask(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -72,13 +75,13 @@
         (need, room): (MicroTokens, MicroTokens),
         cx: &mut AllowanceCx,
     ) {
-        self.used = now;
-        if !self.lender.takes_ask(now, from, ask, demand) {
+        self.last_used = now;
+        if !self.lender.accept_ask(now, from, ask, demand) {
             return;
         }
         self.bucket.advance(now);
         if self.lender.lendable(room, &self.bucket) < need {
-            self.call_back(now, from, cx);
+            self.recall_leases(now, from, cx);
         }
         let claimed: MicroTokens = self.claims.iter().map(|claim| claim.need).sum();
         let need = need.min(self.bucket.level().saturating_sub(claimed));
@@ -93,11 +96,11 @@
             part,
             tokens,
         };
-        cx.send(from, &self.workspace, action);
+        cx.queue_item(from, &self.workspace, action);
     }
 
-    /// Takes leases back.
-    pub(crate) fn take_return(
+    /// Takes back leases and serves waiting claims with their tokens.
+    pub(crate) fn handle_return(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -107,12 +110,13 @@
         cx: &mut AllowanceCx,
     ) {
         self.lender
-            .take_back(now, from, leases, &mut self.bucket, cx);
-        self.lender.note_return(now, from, demand, recall);
+            .accept_returns(now, from, leases, &mut self.bucket, cx);
+        self.lender.record_return(now, from, demand, recall);
         self.serve_claims(now, cx);
     }
 
-    fn take_renewal(
+    /// Renews leases, and recalls what the borrower has beyond its share of the demand.
+    fn handle_renew(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -122,27 +126,30 @@
         cx: &mut AllowanceCx,
     ) {
         let bucket = &mut self.bucket;
-        let leases = self.lender.renew(now, from, demand, leases, bucket, cx);
+        let leases = self
+            .lender
+            .renew_leases(now, from, demand, leases, bucket, cx);
         if leases.is_empty() {
             return;
         }
         let action = AllowanceAction::Renewed { asked_at, leases };
-        cx.send(from, &self.workspace, action);
+        cx.queue_item(from, &self.workspace, action);
         let own = self.demand.rate(now);
         if let Some(action) = self.lender.recall_excess(now, from, own, cx) {
-            cx.send(from, &self.workspace, action);
+            cx.queue_item(from, &self.workspace, action);
         }
     }
 
-    /// Calls back leases of all but `vm` beyond their share by demand, with their tokens.
-    pub(crate) fn call_back(&mut self, now: Duration, vm: &VmId, cx: &mut AllowanceCx) {
-        if !self.lender.lends_beside(vm) || self.lender.is_recalling(now) {
+    /// Recalls tokens from all borrowers but `vm`, and the leased parts beyond their shares of the
+    /// demand.
+    pub(crate) fn recall_leases(&mut self, now: Duration, vm: &VmId, cx: &mut AllowanceCx) {
+        if !self.lender.has_other_borrowers(vm) || self.lender.is_recalling(now) {
             return;
         }
         let demand = self.demand.rate(now);
         let recalls = self.lender.start_recall(now, vm, demand, &self.bucket, cx);
         for (to, action) in recalls {
-            cx.send(&to, &self.workspace, action);
+            cx.queue_item(&to, &self.workspace, action);
         }
     }
 }
--- a/crates/ebonystand-core/src/allowance/allowance_status.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_status.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Allowance of one workspace on one VM, for operators.
+/// Snapshot of one workspace's allowance on one VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceStatus {
-    /// Part held by this VM, without what it has lent.
+    /// Rate and capacity of this VM's bucket, including what is borrowed and without what is lent.
     pub held: AllowancePart,
     /// Micro-tokens that can be spent now.
     pub level: MicroTokens,
     /// Part lent to other VMs.
     pub lent: AllowancePart,
-    /// Requests that wait.
+    /// Number of requests that wait for tokens.
     pub waiting: usize,
-    /// Whose allowance.
+    /// Workspace whose allowance is shown.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/allowance/claim_round.rs
+++ b/crates/ebonystand-core/src/allowance/claim_round.rs
@@ -1,8 +1,8 @@
-/// Whom a request has been claimed from.
+/// Set of holders that a waiting request's tokens have been claimed from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ClaimRound {
-    /// The holder of the own region.
-    Own,
-    /// All holders.
-    All,
+    /// Holder of the own region only.
+    OwnHolder,
+    /// Holders of all regions.
+    AllHolders,
 }
--- a/crates/ebonystand-core/src/allowance/grant_refund.rs
+++ b/crates/ebonystand-core/src/allowance/grant_refund.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// What comes back of a grant.
+/// Unspent tokens of a grant that go back to its holder.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GrantRefund {
-    /// Which.
+    /// Identifier of the grant.
     pub grant: LeaseId,
-    /// Grows with each refund of the sender; an older or equal one counts no more.
+    /// Number that grows with each refund of the sender; the holder ignores one that is not newer
+    /// than the last.
     pub sequence: u64,
-    /// Micro-tokens that come back.
+    /// Unspent micro-tokens.
     pub tokens: MicroTokens,
 }
--- a/crates/ebonystand-core/src/allowance/held_grant.rs
+++ b/crates/ebonystand-core/src/allowance/held_grant.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Tokens for one request that a holder granted.
+/// Grant as its claimant holds it: tokens for one request, and the holder they came from.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) struct HeldGrant {
     pub(crate) grant: LeaseId,
--- a/crates/ebonystand-core/src/allowance/mod.rs
+++ b/crates/ebonystand-core/src/allowance/mod.rs
@@ -1,4 +1,5 @@
-//! What a workspace may use over all VMs: parts of its allowance, lent and borrowed as leases.
+//! Fleet-wide token allowance of each workspace, divided into parts that VMs lend each other as
+//! leases.
 
 use super::*;
 
@@ -14,10 +15,11 @@
 };
 
 pub(crate) use {
-    allowance_cx::AllowanceCx, allowance_fleet::AllowanceFleet, allowance_lender::AllowanceLender,
-    allowance_plan::AllowancePlan, allowance_route::AllowanceRoute,
-    allowance_share::AllowanceShare, allowance_ticket::AllowanceTicket, claim_round::ClaimRound,
-    grant_book::GrantBook, held_grant::HeldGrant, open_claim::OpenClaim, returns::Returns,
+    allowance_cx::AllowanceCx, allowance_fleet::AllowanceFleet,
+    allowance_holders::AllowanceHolders, allowance_lender::AllowanceLender,
+    allowance_plan::AllowancePlan, allowance_share::AllowanceShare,
+    allowance_ticket::AllowanceTicket, claim_round::ClaimRound, grant_ledger::GrantLedger,
+    held_grant::HeldGrant, open_claim::OpenClaim, retry_schedule::RetrySchedule,
     waiting_claim::WaitingClaim,
 };
 
@@ -25,13 +27,13 @@
 mod allowance_configure;
 mod allowance_cx;
 mod allowance_fleet;
+mod allowance_holders;
 mod allowance_item;
 mod allowance_lender;
 mod allowance_message;
 mod allowance_output;
 mod allowance_part;
 mod allowance_plan;
-mod allowance_route;
 mod allowance_share;
 mod allowance_share_borrow;
 mod allowance_share_claim;
@@ -41,10 +43,10 @@
 mod allowance_status;
 mod allowance_ticket;
 mod claim_round;
-mod grant_book;
+mod grant_ledger;
 mod grant_refund;
 mod held_grant;
 mod open_claim;
-mod returns;
+mod retry_schedule;
 mod state;
 mod waiting_claim;
--- a/crates/ebonystand-core/src/allowance/open_claim.rs
+++ b/crates/ebonystand-core/src/allowance/open_claim.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// Claim that may still be answered.
+/// Claim sent to a holder that may still be answered.
 #[derive(Debug)]
 pub(crate) struct OpenClaim {
     pub(crate) asked_at: Duration,
-    /// Until when its request waits for the answer.
+    /// Time until which the request waits for this answer.
     pub(crate) awaited_until: Duration,
     pub(crate) ticket: TicketId,
+    /// Holder that was asked.
     pub(crate) to: VmId,
 }
 
 impl OpenClaim {
-    /// When a holder of the own region that runs has answered.
+    /// Time by which a running holder in the own region has answered.
     pub(crate) fn answered_by(&self) -> Duration {
-        self.asked_at + LeaseTerms::ANSWER + LeaseTerms::CLAIM
+        self.asked_at + LeaseTerms::ANSWER_MARGIN + LeaseTerms::MAX_CLAIM_WAIT
     }
 }
--- a/crates/ebonystand-core/src/allowance/state.rs
+++ b/crates/ebonystand-core/src/allowance/state.rs
@@ -1,37 +1,41 @@
 use super::*;
 
-/// This VM's view of every workspace's allowance over the fleet.
+/// Allowances of all workspaces, as this VM sees them.
 ///
-/// In any window of length T, the tokens used by requests admitted in it, over all VMs, are at
-/// most burst + rate × T. A share is a rate, a capacity and tokens; shares of a workspace add up
-/// to no more than its rate and burst, and tokens to no more than capacity. The configuration
-/// divides the whole over the holders of the regions; holders lend parts of theirs to the VMs that
-/// have the traffic. See `docs/design/allowance.md`.
+/// In any window of length T, requests admitted over all VMs use at most burst + rate × T tokens. A
+/// VM's share consists of a rate, a capacity and tokens. Shares of a workspace add up to at most
+/// its rate and burst, and tokens to at most the capacity. The configuration divides the total
+/// among the holders of the regions; holders lend parts of theirs to the VMs that have the traffic.
+/// See `docs/design/allowance.md`.
 ///
-/// After each call, do what [`Self::tick`] returns no later than [`Self::deadline`] says; a
-/// message that [`Self::admit`] gave rise to waits there too.
+/// After each call, call [`Self::tick`] at [`Self::deadline`] and carry out the outputs. A message
+/// that [`Self::admit`] queues is among them.
 #[derive(Debug)]
 pub struct Allowance {
     pub(crate) cx: AllowanceCx,
     pub(crate) fleet: AllowanceFleet,
     pub(crate) plans: FxHashMap<WorkspaceId, AllowancePlan>,
-    /// When this start of the VM may use its own parts.
-    pub(crate) ready: Duration,
-    /// When it was last called.
-    pub(crate) seen: Duration,
-    started: Duration,
-    /// Workspaces that were removed, with when a new one of that name starts afresh.
+    /// Time from which this VM may use its own parts, after a start or a freeze.
+    pub(crate) ready_at: Duration,
+    /// Time of the last call, by which a freeze is detected.
+    pub(crate) last_call: Duration,
+    started_at: Duration,
+    /// Removed workspaces, each with the time until which a new one of the same name must wait to
+    /// use its part.
     pub(crate) removed: FxHashMap<WorkspaceId, Duration>,
     pub(crate) shares: FxHashMap<WorkspaceId, AllowanceShare>,
-    /// When it was noticed that the VM had been frozen, until the configuration is confirmed.
-    thawed: Option<Duration>,
+    /// Time at which a freeze was detected; `None` once the configuration is confirmed.
+    thawed_at: Option<Duration>,
+    /// Next tick of each share.
     pub(crate) timers: BTreeSet<(Duration, WorkspaceId)>,
+    /// Version of the configuration in force.
     pub(crate) version: Option<Version>,
 }
 
 impl Allowance {
-    /// Allowance of a VM that starts. Its parts are empty and unused for [`LeaseTerms::HOLD`]: its
-    /// former start may have lent all of them just before it ended.
+    /// Creates the allowance of a VM that starts. Its parts are empty and unused for
+    /// [`LeaseTerms::LENDER_TERM`]: the VM's previous start may have lent all of them just before
+    /// it ended.
     #[must_use]
     pub fn new(vm: VmId, incarnation: Incarnation, region: RegionId, now: Duration) -> Self {
         Self {
@@ -41,22 +45,22 @@
                 regions: Vec::new(),
             },
             plans: FxHashMap::default(),
-            ready: now + LeaseTerms::HOLD,
-            seen: now,
-            started: now,
+            ready_at: now + LeaseTerms::LENDER_TERM,
+            last_call: now,
+            started_at: now,
             removed: FxHashMap::default(),
             shares: FxHashMap::default(),
-            thawed: None,
+            thawed_at: None,
             timers: BTreeSet::new(),
             version: None,
         }
     }
 
-    /// Asks for `tokens` of the workspace's allowance: the prompt and the most that may be
-    /// generated. After [`Admission::Waiting`], call [`Self::tick`] at once: it holds the ask.
+    /// Requests `tokens` of a workspace's allowance: the prompt's plus the most that may be
+    /// generated. After [`Admission::Waiting`], call [`Self::tick`] at once to send the claims.
     pub fn admit(&mut self, now: Duration, workspace: &str, tokens: Tokens) -> Admission {
-        self.notice(now);
-        if !self.open(now, workspace) || self.cx.draining {
+        self.detect_freeze(now);
+        if !self.open_share(now, workspace) || self.cx.draining {
             let retry_after = Duration::MAX;
             return Admission::Refused { retry_after };
         }
@@ -71,28 +75,34 @@
         admission
     }
 
-    /// Gives up a waiting request.
+    /// Forgets a waiting request whose caller has given up.
     pub fn cancel(&mut self, now: Duration, ticket: TicketId) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         let waits = |share: &&mut AllowanceShare| share.tickets.iter().any(|t| t.id == ticket);
         if let Some(share) = self.shares.values_mut().find(waits) {
-            share.cancel(ticket);
+            share.cancel_ticket(ticket);
         }
         self.cx.take_outputs()
     }
 
-    /// Notes that the configuration held here was the newest at `asked`. A VM that was frozen before
-    /// has missed nothing then, and uses its parts again.
+    /// Records that the configuration in force was the newest at `asked_at`. A VM whose freeze was
+    /// detected before then has missed no configuration, and uses its parts again.
     pub fn confirm_configuration(
         &mut self,
         now: Duration,
-        asked: Duration,
+        asked_at: Duration,
     ) -> Vec<AllowanceOutput> {
-        self.notice(now);
-        if self.thawed.take_if(|thawed| *thawed <= asked).is_none() {
+        self.detect_freeze(now);
+        if self
+            .thawed_at
+            .take_if(|thawed_at| *thawed_at <= asked_at)
+            .is_none()
+        {
             return Vec::new();
         }
-        self.ready = self.ready.min(now.max(self.started + LeaseTerms::HOLD));
+        self.ready_at = self
+            .ready_at
+            .min(now.max(self.started_at + LeaseTerms::LENDER_TERM));
         let shares: Vec<WorkspaceId> = self.shares.keys().cloned().collect();
         for workspace in shares {
             self.tick_share(now, &workspace);
@@ -100,66 +110,66 @@
         self.cx.take_outputs()
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// Time at which [`Self::tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Option<Duration> {
         if !self.cx.outbox.is_empty() || !self.cx.outputs.is_empty() {
             return Some(Duration::ZERO);
         }
-        let heartbeat = self.seen + LeaseTerms::HEARTBEAT;
+        let heartbeat = self.last_call + LeaseTerms::MAX_TICK_INTERVAL;
         let timer = self.timers.first().map(|(at, _)| *at);
         Some(timer.unwrap_or(heartbeat).min(heartbeat))
     }
 
-    /// Gives all leases back and refuses what waits; for a VM that leaves. What runs is still to
-    /// be settled.
+    /// Returns all leases and refuses waiting requests, on a VM that is leaving. Running requests
+    /// are still to be settled.
     pub fn drain(&mut self, now: Duration) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         self.cx.draining = true;
         let mut shares: Vec<&mut AllowanceShare> = self.shares.values_mut().collect();
         shares.sort_by(|a, b| a.workspace.cmp(&b.workspace));
         for share in shares {
             share.expire(now, &mut self.cx);
-            share.refuse_all(Duration::from_secs(1), &mut self.cx);
+            share.refuse_all_tickets(Duration::from_secs(1), &mut self.cx);
             share.reserved = 0;
-            share.give_all_back(now, &mut self.cx);
+            share.return_all_leases(now, &mut self.cx);
         }
         self.cx.take_outputs()
     }
 
-    /// Whether this VM may use its own parts. Until then it would refuse, as a holder, what is
-    /// within a workspace's rate. One that knows the configuration and holds no part has none to
-    /// wait for.
+    /// Whether this VM may use its own parts. Until then it would, as a holder, refuse requests
+    /// within a workspace's rate. A VM whose configuration gives it no part is ready at once.
     #[must_use]
     pub fn is_ready(&self, now: Duration) -> bool {
-        let mut parts = self.plans.values().map(|plan| &plan.own);
-        now >= self.ready
+        let mut parts = self.plans.values().map(|plan| &plan.own_part);
+        now >= self.ready_at
             || (self.version.is_some() && parts.all(|part| *part == AllowancePart::ZERO))
     }
 
-    /// Takes a message of another VM. It may be lost, doubled, late or out of order.
+    /// Handles a message from another VM. It may be late, duplicated or out of order, and others
+    /// may be lost.
     pub fn receive(
         &mut self,
         now: Duration,
         from: &VmId,
         message: AllowanceMessage,
     ) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         for item in message.items {
             self.receive_item(now, from, item);
         }
         self.cx.take_outputs()
     }
 
-    /// Ends a reservation of which `used` tokens were used; the rest goes back as far as the
-    /// share could have held it all along.
+    /// Settles a reservation of which `used` tokens were spent. The rest is credited as far as the
+    /// share could have held it since the reservation.
     pub fn settle(
         &mut self,
         now: Duration,
         reservation: Reservation,
         used: Tokens,
     ) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         if let Some(share) = self.shares.get_mut(&reservation.workspace) {
             share.settle(now, reservation, used, &mut self.cx);
             share.serve_claims(now, &mut self.cx);
@@ -168,7 +178,7 @@
         self.cx.take_outputs()
     }
 
-    /// Workspaces in use on this VM, by name.
+    /// Status of the workspaces in use on this VM, sorted by name.
     #[must_use]
     pub fn status(&self) -> Vec<AllowanceStatus> {
         let mut status: Vec<_> = self.shares.values().map(AllowanceShare::status).collect();
@@ -176,9 +186,9 @@
         status
     }
 
-    /// Does what is due.
+    /// Carries out what is due at `now`.
     pub fn tick(&mut self, now: Duration) -> Vec<AllowanceOutput> {
-        self.notice(now);
+        self.detect_freeze(now);
         while let Some((at, _)) = self.timers.first()
             && *at <= now
             && let Some((_, workspace)) = self.timers.pop_first()
@@ -188,44 +198,46 @@
         self.cx.take_outputs()
     }
 
-    /// Notices that the VM was frozen.
-    pub(crate) fn notice(&mut self, now: Duration) {
-        let silent = now.saturating_sub(self.seen);
-        self.seen = self.seen.max(now);
-        if silent <= LeaseTerms::FREEZE || self.version.is_none() {
+    /// Detects from the time since the last call that the VM was frozen, and stops using its own
+    /// parts until it has had time to learn of a newer configuration.
+    pub(crate) fn detect_freeze(&mut self, now: Duration) {
+        let silent = now.saturating_sub(self.last_call);
+        self.last_call = self.last_call.max(now);
+        if silent <= LeaseTerms::FREEZE_THRESHOLD || self.version.is_none() {
             return;
         }
-        self.ready = self.ready.max(now + LeaseTerms::THAW);
-        self.thawed = Some(now);
+        self.ready_at = self.ready_at.max(now + LeaseTerms::THAW_DELAY);
+        self.thawed_at = Some(now);
         for share in self.shares.values_mut() {
             share.expire(now, &mut self.cx);
             let bucket = &mut share.bucket;
             share.lender.set_part(now, AllowancePart::ZERO, bucket);
-            Self::set_timer(&mut self.timers, share, now, Some(self.ready));
+            Self::set_timer(&mut self.timers, share, now, Some(self.ready_at));
         }
     }
 
+    /// Ticks one share, drops it if it is idle and sets its next timer.
     fn tick_share(&mut self, now: Duration, workspace: &WorkspaceId) {
         let Some(share) = self.shares.get_mut(workspace) else {
             return;
         };
         share.timer = None;
         if let Some(plan) = self.plans.get(workspace) {
-            let part = plan.part(now, self.ready);
+            let part = plan.part_in_force(now, self.ready_at);
             share.lender.set_part(now, part, &mut share.bucket);
         }
         share.tick(now, &mut self.cx);
         if share.is_idle(now) {
-            self.close(now, workspace);
+            self.close_share(now, workspace);
             return;
         }
         let plan = self.plans.get(workspace);
-        let change = plan.and_then(|plan| plan.part_changes(now, self.ready));
+        let change = plan.and_then(|plan| plan.next_part_change(now, self.ready_at));
         Self::set_timer(&mut self.timers, share, now, change);
     }
 
-    /// Drops a share; the plan keeps its level.
-    fn close(&mut self, now: Duration, workspace: &WorkspaceId) {
+    /// Drops a share; the level of its bucket moves to the plan.
+    fn close_share(&mut self, now: Duration, workspace: &WorkspaceId) {
         let Some(mut share) = self.shares.remove(workspace) else {
             return;
         };
@@ -236,47 +248,49 @@
         }
     }
 
-    /// Brings a share into use; false if the workspace is not served here.
-    fn open(&mut self, now: Duration, workspace: &str) -> bool {
+    /// Creates the share of a workspace unless there is one; returns false if the workspace is not
+    /// served in this region.
+    fn open_share(&mut self, now: Duration, workspace: &str) -> bool {
         if self.shares.contains_key(workspace) {
             return true;
         }
         let Some((id, plan)) = self.plans.get_key_value(workspace) else {
             return false;
         };
-        if !self.fleet.serves(&plan.residency) {
+        if !self.fleet.is_served_here(&plan.residency) {
             return false;
         }
-        let route = self.fleet.route(id, &plan.residency);
-        let mut share = AllowanceShare::new(now, id.clone(), route, plan.whole, &mut self.cx);
-        let part = plan.part(now, self.ready);
+        let holders = self.fleet.holders_of(id, &plan.residency);
+        let mut share = AllowanceShare::new(now, id.clone(), holders, plan.total, &mut self.cx);
+        let part = plan.part_in_force(now, self.ready_at);
         share.lender.set_part(now, part, &mut share.bucket);
-        let level = plan.level(now, self.ready);
-        share.bucket.put(now, AllowancePart::ZERO, level);
-        let change = plan.part_changes(now, self.ready);
+        let level = plan.level_at(now, self.ready_at);
+        share.bucket.add(now, AllowancePart::ZERO, level);
+        let change = plan.next_part_change(now, self.ready_at);
         Self::set_timer(&mut self.timers, &mut share, now, change);
         self.shares.insert(id.clone(), share);
         true
     }
 
+    /// Handles one protocol step; only an ask or a claim brings a workspace into use.
     fn receive_item(&mut self, now: Duration, from: &VmId, item: AllowanceItem) {
         let action = &item.action;
         if matches!(
             action,
             AllowanceAction::Ask { .. } | AllowanceAction::Claim { .. }
         ) {
-            self.open(now, &item.workspace);
+            self.open_share(now, &item.workspace);
         }
         let Some(share) = self.shares.get_mut(&item.workspace) else {
             return;
         };
         share.expire(now, &mut self.cx);
-        share.take_action(now, from, item.action, &mut self.cx);
+        share.handle_action(now, from, item.action, &mut self.cx);
         Self::set_timer(&mut self.timers, share, now, None);
     }
 
-    /// Sets the time of the next tick if it is earlier than the one that is set; a tick that
-    /// comes too early does nothing and sets the right one.
+    /// Schedules the next tick of a share if it is due before the scheduled one. A tick that comes
+    /// too early does nothing and schedules the right one.
     pub(crate) fn set_timer(
         timers: &mut BTreeSet<(Duration, WorkspaceId)>,
         share: &mut AllowanceShare,
@@ -284,7 +298,7 @@
         change: Option<Duration>,
     ) {
         let due = share.deadline(now).into_iter().chain(change).min();
-        let due = due.map(|due| due.max(now + LeaseTerms::STEP));
+        let due = due.map(|due| due.max(now + LeaseTerms::MIN_TICK_INTERVAL));
         let Some(due) = due.filter(|due| share.timer.is_none_or(|timer| *due < timer)) else {
             return;
         };
--- a/crates/ebonystand-core/src/ask_id.rs
+++ b/crates/ebonystand-core/src/ask_id.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Name of an ask, unique for ever. A lend that answers no ask that is still open is dropped, so
-/// a duplicate, and an answer to a former start of the VM, bring no tokens.
+/// Identifier of an ask or a claim, never used again. An answer to an ask that is not open is
+/// dropped, so a duplicate, or an answer to an earlier start of the VM, adds no tokens.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AskId {
-    /// Start of the VM that asks.
+    /// Start of the VM that sent the ask or claim.
     pub incarnation: Incarnation,
-    /// Number within that start; grows.
+    /// Number within that start, larger than all before.
     pub sequence: u64,
 }
--- a/crates/ebonystand-core/src/borrowed_lease.rs
+++ b/crates/ebonystand-core/src/borrowed_lease.rs
@@ -1,38 +1,39 @@
 use super::*;
 
-/// Lease on the borrower's side.
+/// Lease as its borrower sees it.
 #[derive(Debug)]
 pub(crate) struct BorrowedLease {
-    /// End on the own clock.
-    pub(crate) expires: Duration,
+    /// Expiry on this VM's clock.
+    pub(crate) expires_at: Duration,
     pub(crate) id: LeaseId,
     pub(crate) lender: VmId,
     pub(crate) part: AllowancePart,
-    /// When to ask for more time.
+    /// Time at which to request a renewal.
     pub(crate) renew_at: Duration,
 }
 
 impl BorrowedLease {
-    /// Gives back what it has of the part and the tokens that the caller still has to give.
-    pub(crate) fn give(
+    /// Releases as much of `left` as the lease holds, and `tokens` up to its capacity; reduces both
+    /// by what was released. Returns the released part and the return to send.
+    pub(crate) fn release(
         &mut self,
         left: &mut AllowancePart,
         tokens: &mut MicroTokens,
         cx: &mut AllowanceCx,
     ) -> (AllowancePart, LeaseReturn) {
-        let given = self.part.min(*left);
-        let back = self.part.capacity.min(*tokens);
-        *left = left.minus(given);
-        *tokens -= back;
-        self.part = self.part.minus(given);
+        let released = self.part.min(*left);
+        let returned = self.part.capacity.min(*tokens);
+        *left = left.saturating_sub(released);
+        *tokens -= returned;
+        self.part = self.part.saturating_sub(released);
         let hold = LeaseHold {
             lease: self.id,
             part: self.part,
         };
-        let sequence = cx.next();
-        let tokens = back;
+        let sequence = cx.next_sequence();
+        let tokens = returned;
         (
-            given,
+            released,
             LeaseReturn {
                 hold,
                 sequence,
@@ -41,11 +42,15 @@
         )
     }
 
-    /// When to renew a lease that was asked for at `asked_at`: early enough
-    /// that an ask may be lost, at a moment that all workspaces share.
-    pub(crate) fn renewal(asked_at: Duration) -> Duration {
+    /// Time to renew a lease that was asked for or renewed at `asked_at`. A multiple of
+    /// [`LeaseTerms::RENEWAL_INTERVAL`] lets all workspaces share messages, and it comes early
+    /// enough to outlast a lost request.
+    pub(crate) fn renewal_time(asked_at: Duration) -> Duration {
         let step = LeaseTerms::RENEWAL_INTERVAL.as_nanos();
-        let due = (asked_at + LeaseTerms::RENEWED).as_nanos().div_ceil(step) * step;
+        let due = (asked_at + LeaseTerms::RENEWAL_DELAY)
+            .as_nanos()
+            .div_ceil(step)
+            * step;
         Duration::from_nanos(u64::try_from(due).unwrap_or(u64::MAX))
     }
 }
--- a/crates/ebonystand-core/src/borrower.rs
+++ b/crates/ebonystand-core/src/borrower.rs
@@ -1,34 +1,36 @@
 use super::*;
 
-/// What a lender knows of a VM that asks it.
+/// Demand and newest ask of a VM that borrows from this lender.
 #[derive(Debug)]
 pub(crate) struct Borrower {
-    /// Micro-tokens a second that its callers want.
+    /// Demand of the borrower's callers, in micro-tokens per second.
     pub(crate) demand: MicroTokens,
-    /// When it said so.
-    pub(crate) heard: Duration,
-    /// Newest ask; an older or equal one is a duplicate or late.
-    pub(crate) newest: AskId,
+    /// Time at which the borrower reported its demand.
+    pub(crate) heard_at: Duration,
+    /// Newest ask of the borrower. Another that is not newer is a duplicate or late.
+    pub(crate) newest_ask: AskId,
 }
 
 impl Borrower {
-    /// A demand not repeated for longer has ended.
-    const FRESH: Duration = Duration::from_millis(2_500);
+    /// Age from which a demand that is not reported again counts as 0.
+    const DEMAND_TTL: Duration = Duration::from_millis(2_500);
 
-    /// Demand that still counts.
+    /// Reported demand in micro-tokens per second, or 0 if the report is too old.
     pub(crate) fn fresh_demand(&self, now: Duration) -> MicroTokens {
-        if now.saturating_sub(self.heard) > Self::FRESH {
+        if now.saturating_sub(self.heard_at) > Self::DEMAND_TTL {
             return 0;
         }
         self.demand
     }
 
-    /// Whether an ask is newer than all before; noted if so.
-    pub(crate) fn takes(&mut self, ask: AskId) -> bool {
-        if ask.incarnation == self.newest.incarnation && ask.sequence <= self.newest.sequence {
+    /// Records an ask if it is newer than all before it; returns whether it is.
+    pub(crate) fn accept_if_newer(&mut self, ask: AskId) -> bool {
+        if ask.incarnation == self.newest_ask.incarnation
+            && ask.sequence <= self.newest_ask.sequence
+        {
             return false;
         }
-        self.newest = ask;
+        self.newest_ask = ask;
         true
     }
 }
--- a/crates/ebonystand-core/src/demand_meter.rs
+++ b/crates/ebonystand-core/src/demand_meter.rs
@@ -1,29 +1,32 @@
 use super::*;
 
-/// Tokens a second that callers ask for, admitted or not.
+/// Sliding-window meter of the tokens that callers request, admitted or not.
 #[derive(Debug, Default)]
 pub(crate) struct DemandMeter {
+    /// Micro-tokens requested in the current window.
     current: MicroTokens,
+    /// Micro-tokens requested in the window before.
     previous: MicroTokens,
-    started: Duration,
+    /// Start of the current window.
+    window_started: Duration,
 }
 
 impl DemandMeter {
-    /// Time that one count covers.
+    /// Length of a window.
     const WINDOW: Duration = Duration::from_secs(2);
 
-    /// Counts a request.
-    pub(crate) fn add(&mut self, now: Duration, tokens: MicroTokens) {
-        self.roll(now);
+    /// Records a request for `tokens` micro-tokens.
+    pub(crate) fn record(&mut self, now: Duration, tokens: MicroTokens) {
+        self.roll_window(now);
         self.current = self.current.saturating_add(tokens);
     }
 
-    /// Micro-tokens a second over the last window, the part of it that lies before the running
-    /// one being taken from the one before.
+    /// Demand over the last [`Self::WINDOW`], in micro-tokens per second. The share of it that lies
+    /// before the current window is estimated from the previous one.
     pub(crate) fn rate(&mut self, now: Duration) -> MicroTokens {
-        self.roll(now);
-        let left = Self::WINDOW.saturating_sub(now.saturating_sub(self.started));
-        let before = scale(
+        self.roll_window(now);
+        let left = Self::WINDOW.saturating_sub(now.saturating_sub(self.window_started));
+        let before = mul_div(
             self.previous,
             left.as_micros() as u64,
             Self::WINDOW.as_micros() as u64,
@@ -31,8 +34,9 @@
         (before + self.current) / Self::WINDOW.as_secs()
     }
 
-    fn roll(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.started);
+    /// Starts a new window if the current one has ended.
+    fn roll_window(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.window_started);
         if passed < Self::WINDOW {
             return;
         }
@@ -42,6 +46,6 @@
             0
         };
         self.current = 0;
-        self.started = now;
+        self.window_started = now;
     }
 }
--- a/crates/ebonystand-core/src/lease_hold.rs
+++ b/crates/ebonystand-core/src/lease_hold.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// What a borrower still holds of a lease. It only ever shrinks, so a late or doubled statement
-/// does no harm.
+/// Part of a lease that its borrower still holds. It only shrinks, so late or duplicated reports do
+/// no harm.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseHold {
-    /// Which.
+    /// Identifier of the lease.
     pub lease: LeaseId,
-    /// What of it.
+    /// Rate and capacity still held.
     pub part: AllowancePart,
 }
--- a/crates/ebonystand-core/src/lease_id.rs
+++ b/crates/ebonystand-core/src/lease_id.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Name of a lease, unique for ever: no other start of the lender uses it again.
+/// Identifier of a lease or a grant, never used again, not even by a later start of the lender.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LeaseId {
-    /// Start of the lender.
+    /// Start of the VM that made the lease or grant.
     pub incarnation: Incarnation,
     /// Number within that start.
     pub sequence: u64,
--- a/crates/ebonystand-core/src/lease_return.rs
+++ b/crates/ebonystand-core/src/lease_return.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// What comes back of a lease before its end.
+/// Part and tokens of a lease that its borrower returns before the lease expires.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseReturn {
-    /// What the borrower goes on with.
+    /// What the borrower keeps of the lease.
     pub hold: LeaseHold,
-    /// Grows with each return of the borrower; the tokens of an older or equal one count no more.
+    /// Number that grows with each return of the borrower; the lender credits the tokens of newer
+    /// returns only.
     pub sequence: u64,
-    /// Micro-tokens that come back.
+    /// Returned micro-tokens.
     pub tokens: MicroTokens,
 }
--- a/crates/ebonystand-core/src/lent_lease.rs
+++ b/crates/ebonystand-core/src/lent_lease.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Lease on the lender's side.
+/// Lease as its lender sees it.
 #[derive(Debug)]
 pub(crate) struct LentLease {
-    /// End on the own clock, by which the borrower's has ended too.
-    pub(crate) ends: Duration,
+    /// Expiry on the lender's clock; the borrower's lease has expired before it.
+    pub(crate) expires_at: Duration,
     pub(crate) part: AllowancePart,
-    /// Newest return that brought tokens.
-    pub(crate) returned: u64,
-    pub(crate) to: VmId,
+    /// Sequence number of the newest return that brought tokens back.
+    pub(crate) last_return: u64,
+    pub(crate) borrower: VmId,
 }
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -56,7 +56,7 @@
     },
     suspect::{CrashOf, Grant, RunOf, Suspect},
     suspect_ledger::SuspectLedger,
-    token_bucket::{TokenBucket, scale, time_for},
+    token_bucket::{TokenBucket, accrual_time, mul_div},
     unsynced_batch::UnsyncedBatch,
     upstream_group::UpstreamGroup,
     upstream_state::UpstreamState,
--- a/crates/ebonystand-core/src/open_ask.rs
+++ b/crates/ebonystand-core/src/open_ask.rs
@@ -1,11 +1,13 @@
 use super::*;
 
-/// Ask that may still be answered.
+/// Ask for a lease that may still be answered.
 #[derive(Debug)]
 pub(crate) struct OpenAsk {
     pub(crate) asked_at: Duration,
-    /// Until when claims wait for the answer; an ask for stock has none wait.
+    /// Time until which waiting claims wait for the answer; already past for an ask that
+    /// prefetches.
     pub(crate) awaited_until: Duration,
     pub(crate) sequence: u64,
+    /// Holder that was asked.
     pub(crate) to: VmId,
 }
--- a/crates/ebonystand-core/src/recall.rs
+++ b/crates/ebonystand-core/src/recall.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// Recall that is under way.
+/// Recall of leases that is waiting for the borrowers' answers.
 #[derive(Debug)]
 pub(crate) struct Recall {
     pub(crate) id: u64,
-    /// When to go on without those that did not answer.
-    pub(crate) until: Duration,
+    /// Time from which answers are not waited for any more.
+    pub(crate) expires_at: Duration,
+    /// Borrowers that have not answered yet.
     pub(crate) unanswered: BTreeSet<VmId>,
 }
--- a/crates/ebonystand-core/src/reservation.rs
+++ b/crates/ebonystand-core/src/reservation.rs
@@ -1,13 +1,15 @@
 use super::*;
 
-/// Tokens that a request has taken; to be handed to [`Allowance::settle`] once, when it ends.
+/// Tokens taken for a running request. Pass it to [`Allowance::settle`] exactly once, when the
+/// request ends.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Reservation {
-    /// Where the tokens are from, if not from the own part.
+    /// Grant that the tokens came with; `None` if they are from this VM's bucket.
     pub(crate) grant: Option<HeldGrant>,
+    /// Position of the reservation in the bucket's slack history.
     pub(crate) mark: u64,
-    /// Tokens taken.
+    /// Number of reserved tokens.
     pub tokens: Tokens,
-    /// Whose allowance they are from.
+    /// Workspace whose allowance the tokens belong to.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/slack_entry.rs
+++ b/crates/ebonystand-core/src/slack_entry.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// Least room since each mark from `from` up to the next entry's.
+/// Lowest slack of a bucket since reservations with adjacent marks, from `first_mark` up to the
+/// next entry's.
 #[derive(Debug)]
 pub(crate) struct SlackEntry {
-    /// First mark.
-    pub(crate) from: u64,
-    /// Room, in micro-tokens.
+    /// Mark of the oldest reservation that the entry covers.
+    pub(crate) first_mark: u64,
+    /// Lowest slack since then, in micro-tokens.
     pub(crate) slack: MicroTokens,
 }
--- a/crates/ebonystand-core/src/slack_history.rs
+++ b/crates/ebonystand-core/src/slack_history.rs
@@ -1,40 +1,46 @@
 use super::*;
 
-/// Least room that a bucket had since each of the last reservations.
+/// Lowest slack of a bucket since each of its recent reservations. Slack is the room left in the
+/// bucket; a mark is the sequence number of a reservation.
 ///
-/// A refund may bring back no more than the bucket would hold had only the used tokens been taken.
-/// Were all of it paid back into a bucket that was full meanwhile, the tokens that the full bucket
-/// could not take would come in twice, and a window would see more than burst + rate × time.
+/// A refund may credit no more than the bucket would hold if only the used tokens had been taken.
+/// If all of it were credited to a bucket that was full in the meantime, the tokens that the full
+/// bucket had to discard would count twice, and a window would see more than burst + rate × time.
 #[derive(Debug)]
 pub(crate) struct SlackHistory {
-    /// In order of marks, with strictly rising slack: later reservations have seen less.
+    /// Entries sorted by mark. The slack rises strictly, since a later reservation has seen less of
+    /// the past.
     entries: Vec<SlackEntry>,
 }
 
 impl SlackHistory {
-    /// Entries kept; the two with the closest slack are merged beyond it, to the smaller slack.
-    const LIMIT: usize = 8;
+    /// Largest number of entries. Beyond it, the two with the closest slack are merged to the
+    /// smaller slack.
+    const MAX_ENTRIES: usize = 8;
 
-    /// History of a bucket without room.
+    /// Creates the history of a bucket that has had no slack.
     pub(crate) fn new(mark: u64) -> Self {
         Self {
             entries: vec![SlackEntry {
-                from: mark,
+                first_mark: mark,
                 slack: 0,
             }],
         }
     }
 
-    /// Notes a reservation after which the bucket has `slack` room.
-    pub(crate) fn reserve(&mut self, mark: u64, slack: MicroTokens) {
-        self.entries.push(SlackEntry { from: mark, slack });
-        if self.entries.len() > Self::LIMIT {
+    /// Records a reservation that leaves the bucket with `slack` micro-tokens of room.
+    pub(crate) fn record_reservation(&mut self, mark: u64, slack: MicroTokens) {
+        self.entries.push(SlackEntry {
+            first_mark: mark,
+            slack,
+        });
+        if self.entries.len() > Self::MAX_ENTRIES {
             self.merge_closest();
         }
     }
 
-    /// Notes that the bucket has no more than `slack` room.
-    pub(crate) fn observe(&mut self, slack: MicroTokens) {
+    /// Lowers the slack of all entries to at most `slack`, the bucket's present room.
+    pub(crate) fn record_slack(&mut self, slack: MicroTokens) {
         while self.entries.len() > 1 && self.entries[self.entries.len() - 2].slack >= slack {
             self.entries.pop();
         }
@@ -43,9 +49,12 @@
         }
     }
 
-    /// Part of `unused` that may go back for the reservation at `mark`; counted as gone back.
-    pub(crate) fn refund(&mut self, mark: u64, unused: MicroTokens) -> MicroTokens {
-        let after = self.entries.partition_point(|entry| entry.from <= mark);
+    /// Returns how much of `unused` may be credited for the reservation at `mark`, and subtracts it
+    /// from the slack.
+    pub(crate) fn take_refund(&mut self, mark: u64, unused: MicroTokens) -> MicroTokens {
+        let after = self
+            .entries
+            .partition_point(|entry| entry.first_mark <= mark);
         let Some(index) = after.checked_sub(1) else {
             return 0;
         };
@@ -63,6 +72,7 @@
         refund
     }
 
+    /// Merges the two adjacent entries with the closest slack.
     fn merge_closest(&mut self) {
         let closest = (1..self.entries.len())
             .min_by_key(|index| self.entries[*index].slack - self.entries[index - 1].slack);
--- a/crates/ebonystand-core/tests/allowance/demand.rs
+++ b/crates/ebonystand-core/tests/allowance/demand.rs
@@ -1,32 +1,34 @@
-//! Requests within the rate are admitted, wherever they come.
+//! Requests within a workspace's rate are admitted, whichever VMs they arrive at.
 
 use super::*;
 
-/// A started fleet whose parts are full.
-fn warm_fleet(seed: u64) -> Fleet {
+/// Starts a fleet and runs it until the buckets are full.
+fn start_full_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(&document(), 3, seed);
     fleet.run(seconds(8));
     fleet
 }
 
-/// Requests of 50 to 150 tokens at `percent` of the rate, to one of `vms` each.
-fn load(fleet: &mut Fleet, vms: &str, percent: u64, time: Duration) {
+/// Sends requests of 50 to 150 tokens at `percent` of the rate, each to a random one of `vms`.
+fn send_load(fleet: &mut Fleet, vms: &str, percent: u64, time: Duration) {
     let vms: Vec<&str> = vms.split_whitespace().collect();
     let end = fleet.now + time;
     while fleet.now < end {
-        let tokens = 50 + fleet.draw(101);
-        let vm = vms[fleet.draw(vms.len() as u64) as usize];
+        let tokens = 50 + fleet.draw_below(101);
+        let vm = vms[fleet.draw_below(vms.len() as u64) as usize];
         fleet.request(&format!("vm-{vm}"), "w", tokens, tokens);
         let mean = tokens * 100 * 1_000 / (RATE * percent);
-        let wait = mean / 2 + fleet.draw(mean + 1);
+        let wait = mean / 2 + fleet.draw_below(mean + 1);
         fleet.run(Duration::from_millis(wait));
     }
     fleet.run(seconds(1));
 }
 
-/// Requests come at 95 % of the rate to the VMs of one phase after the other; none is refused,
-/// although most of the VMs hold no part of their own. Spread over all VMs, a few are: tokens on
-/// their way between VMs serve nobody. The same requests meet a static split for comparison.
+/// A request within the rate would be refused if its VM failed to obtain tokens that other VMs
+/// hold. Requests come at 95 % of the rate to the VMs of one phase after another, most of which
+/// hold no part of their own; none may be refused. If all VMs get requests at once, a few are
+/// refused, since tokens in transit between VMs serve nobody. A static split of the allowance is
+/// shown for comparison.
 #[rstest]
 #[case::one_vm("a-1", 0)]
 #[case::one_region("a-0 a-1 a-2", 0)]
@@ -35,24 +37,25 @@
 fn a_request_within_the_rate_is_not_refused(#[case] phases: &str, #[case] permille: usize) {
     let (mut requests, mut wrongful, mut split) = (0, 0, 0);
     for seed in 0..20 {
-        let mut fleet = warm_fleet(seed);
+        let mut fleet = start_full_fleet(seed);
         let length = seconds(60 / phases.split(',').count() as u64);
         for vms in phases.split(',') {
-            load(&mut fleet, vms, 95, length);
+            send_load(&mut fleet, vms, 95, length);
         }
         let all = &fleet.requests;
         assert_eq!(check_windows(all, "w", &[bound(RATE, BURST)]), Ok(()));
         let by_split = admitted_by_buckets(all, 9, |request| &request.vm);
         requests += all.len();
-        wrongful += wrongful_refusals(all, |index| all[index].admitted.is_some());
-        split += wrongful_refusals(all, |index| by_split[index]);
+        wrongful += count_wrongful_refusals(all, |index| all[index].admitted.is_some());
+        split += count_wrongful_refusals(all, |index| by_split[index]);
     }
     println!("{phases}: {wrongful} of {requests} wrongfully refused, {split} by a static split");
     assert!(wrongful * 1_000 <= requests * permille);
 }
 
-/// A workspace far above its rate still gets nine tenths of its rate; the rest is under way
-/// between VMs that all wait for it.
+/// An overloaded workspace would get less than its rate if its VMs kept moving tokens between each
+/// other. At least nine tenths must be used; the rest is in transit between VMs that all wait for
+/// it.
 #[rstest]
 #[case::one_vm("a-1")]
 #[case::one_region("a-0 a-1 a-2")]
@@ -60,8 +63,8 @@
 #[case::all_vms("a-0 a-1 a-2 b-0 b-1 b-2 c-0 c-1 c-2")]
 fn an_overloaded_workspace_gets_its_rate(#[case] vms: &str) {
     for percent in [120, 300, 1_000] {
-        let mut fleet = warm_fleet(4);
-        load(&mut fleet, vms, percent, seconds(30));
+        let mut fleet = start_full_fleet(4);
+        send_load(&mut fleet, vms, percent, seconds(30));
         let admitted = fleet.requests.iter().filter(|r| r.admitted.is_some());
         let tokens: Tokens = admitted.map(|request| request.used).sum();
         let share = (tokens - BURST) * 100 / (RATE * 30);
@@ -71,10 +74,11 @@
     }
 }
 
-/// Region a loses the others. Its VMs go on with the region's own part, a third of the whole.
+/// An isolated region must go on with its own part. Region a loses the links to the others, so that
+/// its VMs are left with a third of the total.
 #[test]
 fn an_isolated_region_goes_on_with_its_part() {
-    let mut fleet = warm_fleet(5);
+    let mut fleet = start_full_fleet(5);
     let vms: Vec<VmId> = fleet.nodes.keys().cloned().collect();
     let (inside, outside): (Vec<_>, Vec<_>) = vms.iter().partition(|vm| vm.starts_with("vm-a"));
     for (one, other) in inside
@@ -84,7 +88,7 @@
         fleet.cut(one, other);
         fleet.cut(other, one);
     }
-    load(&mut fleet, "a-0 a-1 a-2", 100, seconds(30));
+    send_load(&mut fleet, "a-0 a-1 a-2", 100, seconds(30));
     let admitted = fleet.requests.iter().filter(|r| r.admitted.is_some());
     let tokens: Tokens = admitted.map(|request| request.used).sum();
     println!("isolated: {tokens} tokens of {}", RATE * 10);
--- a/crates/ebonystand-core/tests/allowance/fleet.rs
+++ b/crates/ebonystand-core/tests/allowance/fleet.rs
@@ -1,8 +1,8 @@
-//! A small fleet of real allowances in memory, stepped by the millisecond.
+//! Simulated fleet of real [`Allowance`]s in memory, stepped by the millisecond.
 
 use super::*;
 
-/// Bounds of the random faults on messages.
+/// Limits of the random faults that befall messages.
 #[derive(Clone, Copy, Default)]
 pub struct Noise {
     pub doubled_permille: u32,
@@ -10,22 +10,23 @@
     pub lost_permille: u32,
 }
 
-/// One VM. Its clock has its own start and drift.
+/// Simulated VM, whose clock has its own offset and drift.
 pub struct Node {
     pub allowance: Option<Allowance>,
     pub frozen: bool,
-    /// What arrives while it is frozen waits in its socket.
+    /// Messages that arrive during a freeze and wait in the VM's socket.
     inbox: Vec<(VmId, AllowanceMessage)>,
     incarnation: u64,
     offset: Duration,
-    ppm: i64,
+    drift_ppm: i64,
     region: RegionId,
+    /// Admitted requests with the time at which each ends and its index in the fleet's requests.
     running: Vec<(Duration, usize, Reservation)>,
     version: u64,
     waiting: BTreeMap<TicketId, usize>,
 }
 
-/// A request as the fleet's callers see it.
+/// Request as its caller sees it.
 pub struct Request {
     pub admitted: Option<Duration>,
     pub arrived: Duration,
@@ -36,35 +37,38 @@
     pub workspace: WorkspaceId,
 }
 
+/// Simulated VMs, the network between them and the faults to come.
 #[derive(Default)]
 pub struct Fleet {
     pub bytes: BTreeMap<VmId, usize>,
     pub cut: BTreeSet<(VmId, VmId)>,
     pub document: Document,
     /// One-way delay between regions.
-    far: Duration,
-    /// VMs that have not adopted `document`, with when they do at the latest.
-    lagging: BTreeMap<VmId, Duration>,
-    flight: BTreeMap<(Duration, u64), (VmId, VmId, AllowanceMessage)>,
+    region_delay: Duration,
+    /// VMs that have not adopted `document` yet, each with the time at which it will.
+    pending_adoptions: BTreeMap<VmId, Duration>,
+    in_flight: BTreeMap<(Duration, u64), (VmId, VmId, AllowanceMessage)>,
     pub nodes: BTreeMap<VmId, Node>,
     pub noise: Noise,
     pub now: Duration,
-    /// After this time a request is no longer waited for.
-    pub patience: Option<Duration>,
+    /// Time after which a caller gives up a waiting request; `None` if never.
+    pub wait_limit: Option<Duration>,
     pub requests: Vec<Request>,
-    repairs: Vec<(Duration, Fault, VmId, VmId)>,
+    due_faults: Vec<(Duration, Fault, VmId, VmId)>,
     pub rng: Option<Pcg64Mcg>,
-    /// Faults to come, each at the next time that its step is taken.
+    /// Faults to come; each strikes when its step is next taken.
     pub script: VecDeque<(Step, Fault)>,
     sequence: u64,
-    struck: Duration,
+    /// Time of the last fault from the script.
+    last_fault_at: Duration,
 }
 
 impl Node {
-    pub fn local(&self, now: Duration) -> Duration {
+    /// Time on the VM's own clock.
+    pub fn local_time(&self, now: Duration) -> Duration {
         // A millionth of a millisecond is a nanosecond.
-        let drift = Duration::from_nanos(now.as_millis() as u64 * self.ppm.unsigned_abs());
-        if self.ppm < 0 {
+        let drift = Duration::from_nanos(now.as_millis() as u64 * self.drift_ppm.unsigned_abs());
+        if self.drift_ppm < 0 {
             return self.offset + now - drift;
         }
         self.offset + now + drift
@@ -72,7 +76,8 @@
 }
 
 impl Fleet {
-    /// Regions of `vms` VMs each, `vm-REGION-NUMBER`; the first of each holds the parts.
+    /// Creates regions of `vms` VMs each, named `vm-REGION-NUMBER`; the first one of each is the
+    /// holder.
     pub fn new(document: &Document, vms: usize, seed: u64) -> Self {
         let links = document
             .regions
@@ -80,26 +85,26 @@
             .flat_map(|region| region.links.values());
         let mut fleet = Self {
             document: document.clone(),
-            far: links.map(Link::delay).max().unwrap_or_default(),
+            region_delay: links.map(Link::delay).max().unwrap_or_default(),
             rng: Some(Pcg64Mcg::seed_from_u64(seed)),
             ..Self::default()
         };
         for region in document.regions.keys() {
             for number in 0..vms {
-                fleet.add(&format!("vm-{region}-{number}").into(), region);
+                fleet.add_vm(&format!("vm-{region}-{number}").into(), region);
             }
         }
         fleet
     }
 
-    fn add(&mut self, vm: &VmId, region: &RegionId) {
+    fn add_vm(&mut self, vm: &VmId, region: &RegionId) {
         let node = Node {
             allowance: None,
             frozen: false,
             inbox: Vec::new(),
             incarnation: 0,
-            offset: Duration::from_secs(self.draw(1_000_000)),
-            ppm: self.draw(1_001) as i64 - 500,
+            offset: Duration::from_secs(self.draw_below(1_000_000)),
+            drift_ppm: self.draw_below(1_001) as i64 - 500,
             region: region.clone(),
             running: Vec::new(),
             version: 0,
@@ -109,58 +114,60 @@
         self.start(vm);
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    /// Draws a random number below `below`.
+    pub fn draw_below(&mut self, below: u64) -> u64 {
         let rng = self.rng.as_mut().expect("a seeded fleet");
         rng.next_u64() % below
     }
 
-    /// Puts a configuration in force; each VM that runs adopts it within ten seconds.
+    /// Publishes a configuration. Each running VM adopts it within ten seconds.
     pub fn publish(&mut self, document: Document) {
         self.document = document;
         let vms: Vec<VmId> = self.nodes.keys().cloned().collect();
         for vm in vms {
-            let lag = Duration::from_millis(self.draw(8_900));
+            let lag = Duration::from_millis(self.draw_below(8_900));
             let adopts = self.now + lag;
-            let earlier = self.lagging.get(&vm).copied().unwrap_or(adopts);
-            self.lagging.insert(vm, adopts.min(earlier));
+            let earlier = self.pending_adoptions.get(&vm).copied().unwrap_or(adopts);
+            self.pending_adoptions.insert(vm, adopts.min(earlier));
         }
     }
 
+    /// Freezes a VM, or thaws it and delivers the messages that waited.
     pub fn freeze(&mut self, vm: &str, frozen: bool) {
-        let adopts = self.now + Duration::from_millis(self.draw(8_900));
+        let adopts = self.now + Duration::from_millis(self.draw_below(8_900));
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
         if node.frozen && !frozen {
-            self.lagging.insert(vm.into(), adopts);
+            self.pending_adoptions.insert(vm.into(), adopts);
             for (from, message) in std::mem::take(&mut node.inbox) {
                 let packet = (from, vm.into(), message);
-                self.flight.insert((self.now, self.sequence), packet);
+                self.in_flight.insert((self.now, self.sequence), packet);
                 self.sequence += 1;
             }
         }
         node.frozen = frozen;
     }
 
-    /// Calls a VM that runs, and does what it answers.
+    /// Calls the allowance of a VM unless it is down or frozen, and carries out the outputs.
     fn call(
         &mut self,
         vm: &str,
         call: impl FnOnce(&mut Allowance, Duration) -> Vec<AllowanceOutput>,
     ) {
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
-        let local = node.local(self.now);
+        let local = node.local_time(self.now);
         if let Some(allowance) = node.allowance.as_mut().filter(|_| !node.frozen) {
             let outputs = call(allowance, local);
-            self.take(vm, outputs);
+            self.carry_out(vm, outputs);
         }
     }
 
     pub fn configure(&mut self, vm: &str, document: &Document) {
-        self.hit(Step::Configure, vm, vm);
+        self.strike(Step::Configure, vm, vm);
         self.nodes.get_mut(vm).expect("a VM of the fleet").version = document.version;
         self.call(vm, |allowance, now| allowance.configure(now, document));
     }
 
-    /// Ends a VM at once; what ran on it counts as used in full.
+    /// Crashes a VM. Its running requests count as used in full.
     pub fn crash(&mut self, vm: &str) {
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
         node.allowance = None;
@@ -175,6 +182,7 @@
         self.call(vm, Allowance::drain);
     }
 
+    /// Starts a VM again that is down, with the newest configuration.
     pub fn start(&mut self, vm: &str) {
         let now = self.now;
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
@@ -183,7 +191,7 @@
         }
         node.incarnation += 1;
         node.frozen = false;
-        let local = node.local(now);
+        let local = node.local_time(now);
         let region = node.region.clone();
         let mut allowance = Allowance::new(vm.into(), node.incarnation, region, local);
         allowance.configure(local, &self.document);
@@ -195,7 +203,7 @@
         self.cut.insert((from.into(), to.into()));
     }
 
-    /// A request arrives; the answer comes into `requests`.
+    /// Sends a request that runs for 20 ms; its outcome is recorded in `requests`.
     pub fn request(&mut self, vm: &str, workspace: &str, reserved: Tokens, used: Tokens) {
         let lasts = Duration::from_millis(20);
         self.request_lasting(vm, workspace, reserved, used, lasts);
@@ -221,12 +229,12 @@
         });
         let now = self.now;
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
-        let local = node.local(now);
+        let local = node.local_time(now);
         let Some(allowance) = node.allowance.as_mut().filter(|_| !node.frozen) else {
             return;
         };
         match allowance.admit(local, workspace, reserved) {
-            Admission::Granted(reservation) => self.admitted(vm, index, reservation),
+            Admission::Granted(reservation) => self.record_admission(vm, index, reservation),
             Admission::Refused { .. } => {}
             Admission::Waiting(ticket) => {
                 node.waiting.insert(ticket, index);
@@ -235,19 +243,21 @@
         self.tick(vm);
     }
 
+    /// Simulates the fleet for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         let vms: Vec<VmId> = self.nodes.keys().cloned().collect();
         while self.now < end {
             self.now += Duration::from_millis(1);
-            self.repair();
-            self.adopt();
-            self.deliver();
-            vms.iter().for_each(|vm| self.step(vm));
+            self.apply_due_faults();
+            self.adopt_configurations();
+            self.deliver_messages();
+            vms.iter().for_each(|vm| self.step_vm(vm));
         }
     }
 
-    fn admitted(&mut self, vm: &str, index: usize, reservation: Reservation) {
+    /// Records an admission and the end of the request.
+    fn record_admission(&mut self, vm: &str, index: usize, reservation: Reservation) {
         let request = &mut self.requests[index];
         request.admitted = Some(self.now);
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
@@ -255,24 +265,26 @@
             .push((self.now + request.lasts, index, reservation));
     }
 
-    /// Lets the fault that is due at this step befall the sender or the receiver.
-    fn hit(&mut self, step: Step, from: &str, to: &str) -> Option<Fault> {
+    /// Returns the fault that is due at this step, if any, and schedules its effect on sender,
+    /// receiver or link.
+    fn strike(&mut self, step: Step, from: &str, to: &str) -> Option<Fault> {
         let (due, fault) = *self.script.front()?;
-        let recovers = self.struck + Duration::from_millis(200) <= self.now;
+        let recovers = self.last_fault_at + Duration::from_millis(200) <= self.now;
         if due != step && (due != Step::Any || !recovers) {
             return None;
         }
-        self.struck = self.now;
+        self.last_fault_at = self.now;
         self.script.pop_front();
-        self.repairs.push((self.now, fault, from.into(), to.into()));
+        self.due_faults
+            .push((self.now, fault, from.into(), to.into()));
         Some(fault)
     }
 
-    /// Brings about faults that befall VMs and links, and ends them.
-    fn repair(&mut self) {
+    /// Applies scheduled faults to VMs and links, and schedules their repair.
+    fn apply_due_faults(&mut self) {
         let now = self.now;
         let due: Vec<_> = self
-            .repairs
+            .due_faults
             .extract_if(.., |repair| repair.0 <= now)
             .collect();
         for (_, fault, from, to) in due {
@@ -300,18 +312,18 @@
                 Fault::Double | Fault::Late | Fault::Lose => {}
             }
             if after > 0 {
-                self.repairs
+                self.due_faults
                     .push((now + Duration::from_millis(after), next, vm.clone(), vm));
             }
         }
     }
 
-    fn adopt(&mut self) {
+    fn adopt_configurations(&mut self) {
         let now = self.now;
-        if self.lagging.is_empty() {
+        if self.pending_adoptions.is_empty() {
             return;
         }
-        let due = self.lagging.extract_if(.., |_, at| *at <= now);
+        let due = self.pending_adoptions.extract_if(.., |_, at| *at <= now);
         let due: Vec<VmId> = due.map(|(vm, _)| vm).collect();
         let document = self.document.clone();
         for vm in due {
@@ -319,8 +331,9 @@
         }
     }
 
-    fn deliver(&mut self) {
-        while let Some(entry) = self.flight.first_entry()
+    /// Delivers messages that have arrived; a frozen VM gets them after it thaws.
+    fn deliver_messages(&mut self) {
+        while let Some(entry) = self.in_flight.first_entry()
             && entry.key().0 <= self.now
         {
             let (from, to, message) = entry.remove();
@@ -333,7 +346,7 @@
         }
     }
 
-    fn step(&mut self, vm: &VmId) {
+    fn step_vm(&mut self, vm: &VmId) {
         let now = self.now;
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
         if node.frozen {
@@ -342,7 +355,7 @@
         let ended = node.running.extract_if(.., |(end, _, _)| *end <= now);
         let ended: Vec<_> = ended.collect();
         if !ended.is_empty() {
-            self.hit(Step::Settle, vm, vm);
+            self.strike(Step::Settle, vm, vm);
         }
         for (_, index, reservation) in ended {
             let used = self.requests[index].used;
@@ -350,13 +363,13 @@
                 allowance.settle(now, reservation, used)
             });
         }
-        self.give_up(vm);
-        self.confirm(vm);
+        self.cancel_late_requests(vm);
+        self.confirm_configuration(vm);
         self.tick(vm);
     }
 
-    /// The leader tells a VM that its configuration is the newest, if it is.
-    fn confirm(&mut self, vm: &str) {
+    /// Confirms to a VM every 500 ms, as the leader does, that its configuration is the newest.
+    fn confirm_configuration(&mut self, vm: &str) {
         let is_due = self.now.as_millis().is_multiple_of(500);
         if is_due && self.nodes[vm].version == self.document.version {
             self.call(vm, |allowance, now| {
@@ -365,14 +378,15 @@
         }
     }
 
-    fn give_up(&mut self, vm: &str) {
-        let Some(patience) = self.patience else {
+    /// Cancels requests that have waited for longer than `wait_limit`.
+    fn cancel_late_requests(&mut self, vm: &str) {
+        let Some(wait_limit) = self.wait_limit else {
             return;
         };
         let requests = &self.requests;
         let now = self.now;
         let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
-        let late = |index: &usize| now >= requests[*index].arrived + patience;
+        let late = |index: &usize| now >= requests[*index].arrived + wait_limit;
         let late = node.waiting.iter().filter(|(_, index)| late(index));
         let late: Vec<TicketId> = late.map(|(ticket, _)| *ticket).collect();
         for ticket in late {
@@ -390,7 +404,7 @@
         });
     }
 
-    fn take(&mut self, vm: &str, outputs: Vec<AllowanceOutput>) {
+    fn carry_out(&mut self, vm: &str, outputs: Vec<AllowanceOutput>) {
         for output in outputs {
             match output {
                 AllowanceOutput::Admitted {
@@ -399,7 +413,7 @@
                 } => {
                     let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
                     let index = node.waiting.remove(&ticket).expect("a waiting request");
-                    self.admitted(vm, index, reservation);
+                    self.record_admission(vm, index, reservation);
                 }
                 AllowanceOutput::Refused { ticket, .. } => {
                     let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
@@ -413,27 +427,33 @@
     fn send(&mut self, from: &str, to: &VmId, message: &AllowanceMessage) {
         let bytes = postcard::to_stdvec(message).map_or(0, |bytes| bytes.len());
         *self.bytes.entry(from.into()).or_default() += bytes;
-        let lost = self.draw(1_000) < u64::from(self.noise.lost_permille);
+        let lost = self.draw_below(1_000) < u64::from(self.noise.lost_permille);
         let steps = message.items.iter().map(|item| Step::of(&item.action));
-        let faults: Vec<Fault> = steps.filter_map(|step| self.hit(step, from, to)).collect();
+        let faults: Vec<Fault> = steps
+            .filter_map(|step| self.strike(step, from, to))
+            .collect();
         let lost = lost || faults.contains(&Fault::Lose);
         let doubled = u64::from(faults.contains(&Fault::Double));
         let late = u64::from(faults.contains(&Fault::Late)) * 2_700;
         if lost || self.cut.contains(&(from.into(), to.clone())) {
             return;
         }
-        let noise = u64::from(self.draw(1_000) < u64::from(self.noise.doubled_permille));
+        let noise = u64::from(self.draw_below(1_000) < u64::from(self.noise.doubled_permille));
         let region = |vm: &str| self.nodes.get(vm).map(|node| node.region.clone());
         let Some(home) = region(from).zip(region(to)) else {
             return;
         };
         let near = Duration::from_millis(1);
-        let delay = if home.0 == home.1 { near } else { self.far };
+        let delay = if home.0 == home.1 {
+            near
+        } else {
+            self.region_delay
+        };
         for copy in 0..1 + doubled + noise {
-            let jitter = self.draw(self.noise.jitter_ms + 1) + late + copy * 40;
+            let jitter = self.draw_below(self.noise.jitter_ms + 1) + late + copy * 40;
             let at = self.now + delay + Duration::from_millis(jitter);
             let packet = (from.into(), to.clone(), message.clone());
-            self.flight.insert((at, self.sequence), packet);
+            self.in_flight.insert((at, self.sequence), packet);
             self.sequence += 1;
         }
     }
--- a/crates/ebonystand-core/tests/allowance/lease.rs
+++ b/crates/ebonystand-core/tests/allowance/lease.rs
@@ -1,9 +1,9 @@
-//! Safeguards that need an exact course of events.
+//! Safeguards of leases and grants whose failure takes an exact course of events.
 
 use {super::*, ebonystand_core::LeaseTerms};
 
-/// A started fleet of two VMs a region, with full parts.
-fn small_fleet(rate: Tokens, burst: Tokens) -> Fleet {
+/// Starts a fleet of two VMs in each region and runs it until the buckets are full.
+fn start_small_fleet(rate: Tokens, burst: Tokens) -> Fleet {
     let mut document = document();
     set_rate(&mut document, rate, burst);
     let mut fleet = Fleet::new(&document, 2, 1);
@@ -11,42 +11,44 @@
     fleet
 }
 
-/// One request that lasts `lasts`.
-fn take(fleet: &mut Fleet, vm: &str, reserved: Tokens, used: Tokens, lasts: Duration) {
+/// Sends one request that runs for `lasts`, and half a second passes.
+fn send_request(fleet: &mut Fleet, vm: &str, reserved: Tokens, used: Tokens, lasts: Duration) {
     fleet.request_lasting(vm, "w", reserved, used, lasts);
     fleet.run(Duration::from_millis(500));
 }
 
-/// Ten milliseconds after another, requests for `tokens` each come to one VM.
-fn steady(fleet: &mut Fleet, tokens: Tokens, time: Duration) {
+/// Sends a request for `tokens` to one VM every ten milliseconds.
+fn send_steadily(fleet: &mut Fleet, tokens: Tokens, time: Duration) {
     for _ in 0..time.as_millis() / 10 {
         fleet.request("vm-a-1", "w", tokens, tokens);
         fleet.run(Duration::from_millis(10));
     }
 }
 
-/// Every message comes twice. A return that leaves part of a lease with its borrower does not end
-/// the lease, so only its number tells the second copy from a new return.
+/// A duplicated message must not add tokens. Every message is delivered twice. A return that leaves
+/// part of a lease with its borrower doesn't end the lease, so only the sequence number tells the
+/// copy from a new return.
 #[test]
 fn doubled_messages_bring_nothing() {
-    let mut fleet = small_fleet(RATE, 300);
+    let mut fleet = start_small_fleet(RATE, 300);
     fleet.noise.doubled_permille = 1_000;
-    take_all(&mut fleet, seconds(30));
+    overload(&mut fleet, seconds(30));
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(RATE, 300)]),
         Ok(())
     );
 }
 
-/// A request reserves the whole burst and runs long. Its VM fills up again and spends all once
-/// more. Then the request ends unused. Were its tokens paid back, a third burst could be spent.
+/// A refund must not exceed what the bucket could have held. A request reserves the whole burst and
+/// runs long. Meanwhile its VM's bucket fills up and is spent again. The request then ends without
+/// using its tokens; if they were credited, a third burst could be spent.
 #[test]
 fn a_refund_does_not_exceed_what_a_full_bucket_holds() {
-    let mut fleet = small_fleet(100, 300);
-    take(&mut fleet, "vm-a-0", 290, 0, Duration::from_millis(6_900));
+    let mut fleet = start_small_fleet(100, 300);
+    send_request(&mut fleet, "vm-a-0", 290, 0, Duration::from_millis(6_900));
     fleet.run(seconds(6));
-    take(&mut fleet, "vm-a-0", 290, 290, seconds(1));
-    take(&mut fleet, "vm-a-0", 290, 290, seconds(1));
+    send_request(&mut fleet, "vm-a-0", 290, 290, seconds(1));
+    send_request(&mut fleet, "vm-a-0", 290, 290, seconds(1));
     assert!(fleet.requests[1].admitted.is_some());
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(100, 300)]),
@@ -54,33 +56,36 @@
     );
 }
 
-/// A request reserves the whole burst and ends soon, unused. The next one is admitted at once.
+/// Unused tokens must come back. A request reserves the whole burst and ends soon without using it;
+/// the next one must be admitted at once.
 #[test]
 fn a_refund_brings_back_what_was_not_used() {
-    let mut fleet = small_fleet(10, 300);
-    take(&mut fleet, "vm-a-1", 290, 0, Duration::from_millis(400));
-    take(&mut fleet, "vm-b-1", 290, 290, seconds(1));
+    let mut fleet = start_small_fleet(10, 300);
+    send_request(&mut fleet, "vm-a-1", 290, 0, Duration::from_millis(400));
+    send_request(&mut fleet, "vm-b-1", 290, 290, seconds(1));
     assert!(fleet.requests[1].admitted.is_some());
 }
 
-/// A VM that has borrowed the whole allowance leaves and ends. What it did not use is there.
+/// A VM that leaves must return its unused tokens. It has borrowed the whole allowance, drains and
+/// ends; a request elsewhere must be admitted.
 #[test]
 fn a_leaving_vm_gives_its_leases_back() {
-    let mut fleet = small_fleet(10, 300);
-    take(&mut fleet, "vm-a-1", 290, 10, Duration::from_millis(400));
+    let mut fleet = start_small_fleet(10, 300);
+    send_request(&mut fleet, "vm-a-1", 290, 10, Duration::from_millis(400));
     fleet.drain("vm-a-1");
     fleet.run(Duration::from_millis(40));
     fleet.crash("vm-a-1");
-    take(&mut fleet, "vm-b-1", 280, 280, seconds(1));
+    send_request(&mut fleet, "vm-b-1", 280, 280, seconds(1));
     assert!(fleet.requests[1].admitted.is_some());
 }
 
-/// A borrower is frozen between two renewals, past the end of its lease. Others spend what the
-/// lease was for. When it thaws, a request comes before its first tick.
+/// A thawed borrower must not spend an expired lease. It is frozen between two renewals until its
+/// lease has expired and others have spent the same tokens. A request arrives right after the thaw,
+/// before its first tick.
 #[test]
 fn a_thawed_borrower_spends_no_ended_lease() {
-    let mut fleet = small_fleet(RATE, 300);
-    steady(&mut fleet, 10, Duration::from_millis(1_950));
+    let mut fleet = start_small_fleet(RATE, 300);
+    send_steadily(&mut fleet, 10, Duration::from_millis(1_950));
     fleet.freeze("vm-a-1", true);
     fleet.run(Duration::from_millis(2_700));
     fleet.request("vm-a-0", "w", 280, 280);
@@ -94,48 +99,48 @@
     );
 }
 
-/// A part moves. Its new holder adopts the change at once, the old one nine seconds later, and
-/// spends until then.
+/// A part that moves must not be spent twice. Its new holder adopts the change at once, the former
+/// one nine seconds later, and spends the part until then.
 #[test]
 fn a_moved_part_waits_for_its_former_holder() {
-    let mut fleet = small_fleet(RATE, 300);
+    let mut fleet = start_small_fleet(RATE, 300);
     let moved = moved_holder(&fleet.document);
     fleet.configure("vm-a-1", &moved);
-    take_all(&mut fleet, seconds(9));
+    overload(&mut fleet, seconds(9));
     fleet.publish(moved);
-    take_all(&mut fleet, seconds(30));
+    overload(&mut fleet, seconds(30));
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(RATE, 300)]),
         Ok(())
     );
 }
 
-/// A part moves while a VM has borrowed it and goes on using the lease. Were the former holder to
-/// renew it, lease and new part would be spent together.
+/// A lease of a part that moves must not be renewed. A VM goes on using the lease after the change;
+/// if the former holder renewed it, lease and moved part would be spent together.
 #[test]
 fn a_lease_of_a_moved_part_is_not_renewed() {
-    let mut fleet = small_fleet(RATE, 300);
-    steady(&mut fleet, 5, seconds(2));
+    let mut fleet = start_small_fleet(RATE, 300);
+    send_steadily(&mut fleet, 5, seconds(2));
     let moved = moved_holder(&fleet.document);
     let vms: Vec<VmId> = fleet.nodes.keys().cloned().collect();
     vms.iter().for_each(|vm| fleet.configure(vm, &moved));
-    steady(&mut fleet, 5, seconds(28));
-    steady(&mut fleet, 20, seconds(4));
+    send_steadily(&mut fleet, 5, seconds(28));
+    send_steadily(&mut fleet, 20, seconds(4));
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(RATE, 300)]),
         Ok(())
     );
 }
 
-/// A holder is frozen while its part moves to another VM. It thaws before it hears of the change,
-/// and must not spend the part that the other one has been spending.
+/// A thawed holder must not spend a part that moved. It is frozen while the configuration gives its
+/// part to another VM, and thaws before it learns of the change.
 #[test]
 fn a_thawed_holder_leaves_its_part_alone() {
-    let mut fleet = small_fleet(100, 300);
+    let mut fleet = start_small_fleet(100, 300);
     fleet.freeze("vm-a-0", true);
     fleet.publish(moved_holder(&fleet.document));
     fleet.run(seconds(42));
-    take(&mut fleet, "vm-a-1", 295, 295, seconds(1));
+    send_request(&mut fleet, "vm-a-1", 295, 295, seconds(1));
     fleet.freeze("vm-a-0", false);
     fleet.request("vm-a-0", "w", 90, 90);
     assert!(fleet.requests[0].admitted.is_some());
@@ -145,16 +150,17 @@
     );
 }
 
-/// A holder was frozen, and no configuration was made meanwhile. Were its part left unused for longer
-/// than it takes to learn that, a third of the rate would be missing.
+/// A thawed holder must use its part again once its configuration is confirmed. No configuration is
+/// published during the freeze. A part unused for longer than it takes to learn that would cost a
+/// third of the rate.
 #[test]
 fn a_thawed_holder_uses_its_part_once_the_configuration_is_confirmed() {
-    let mut fleet = small_fleet(300, 300);
+    let mut fleet = start_small_fleet(300, 300);
     fleet.freeze("vm-a-0", true);
     fleet.run(seconds(4));
     fleet.freeze("vm-a-0", false);
     fleet.run(seconds(2));
-    take(&mut fleet, "vm-a-0", 290, 290, seconds(1));
+    send_request(&mut fleet, "vm-a-0", 290, 290, seconds(1));
     assert!(fleet.requests[0].admitted.is_some());
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(300, 300)]),
@@ -162,32 +168,32 @@
     );
 }
 
-/// Guards against refusals while the holder of a region is frozen, and while it leaves its part unused
-/// afterwards: most of the rate lies with the other holders.
+/// Requests must not be refused while the holder of a region is frozen, or leaves its part unused
+/// afterwards: most of the rate is with the other holders.
 #[test]
 fn requests_go_to_the_other_holders_while_one_is_frozen_or_rests() {
-    let mut fleet = small_fleet(3_000, 3_000);
-    fleet.patience = Some(Duration::from_millis(250));
+    let mut fleet = start_small_fleet(3_000, 3_000);
+    fleet.wait_limit = Some(Duration::from_millis(250));
     fleet.freeze("vm-a-0", true);
-    steady(&mut fleet, 5, seconds(4));
+    send_steadily(&mut fleet, 5, seconds(4));
     let document = fleet.document.clone();
     fleet.publish(moved_holder(&document));
     fleet.freeze("vm-a-0", false);
-    steady(&mut fleet, 5, seconds(2));
+    send_steadily(&mut fleet, 5, seconds(2));
     fleet.run(seconds(1));
     let refused = fleet.requests.iter().filter(|r| r.admitted.is_none());
     let refused: Vec<Duration> = refused.map(|request| request.arrived).collect();
     assert_eq!(refused, []);
 }
 
-/// A holder spends its part and is left alone until its state is dropped. Its part must come back
-/// as empty as it was, filled by no more than the time since.
+/// An idle part must keep its level. A holder spends its part and is not used until its state is
+/// dropped. The part must come back as empty as it was, plus what has accrued since.
 #[test]
 fn an_idle_part_keeps_its_level() {
-    let mut fleet = small_fleet(100, 3_000);
-    take(&mut fleet, "vm-a-0", 2_900, 2_900, seconds(1));
+    let mut fleet = start_small_fleet(100, 3_000);
+    send_request(&mut fleet, "vm-a-0", 2_900, 2_900, seconds(1));
     fleet.run(seconds(3));
-    take(&mut fleet, "vm-a-0", 900, 900, seconds(1));
+    send_request(&mut fleet, "vm-a-0", 900, 900, seconds(1));
     assert!(fleet.requests[0].admitted.is_some());
     assert_eq!(
         check_windows(&fleet.requests, "w", &[bound(100, 3_000)]),
@@ -195,8 +201,8 @@
     );
 }
 
-/// A lease is nearly over when it arrives. Counted from its arrival, it would last on while its
-/// lender spends the same part again.
+/// A lease expires a fixed time after its ask. It arrives when it has nearly expired; counted from
+/// the arrival, it would last on while its lender spends the same part again.
 #[test]
 fn a_late_lease_ends_with_its_ask() {
     let document = document();
@@ -222,7 +228,7 @@
     };
     let ask = sent(borrower.tick(at(5_000)));
     let lend = sent(holder.receive(at(5_001), &"vm-b-0".into(), ask));
-    let end = at(5_000) + LeaseTerms::LENGTH;
+    let end = at(5_000) + LeaseTerms::BORROWER_TERM;
     let own = borrower.status()[0].held;
     borrower.receive(end - at(10), &"vm-a-0".into(), lend);
     assert!(borrower.status()[0].held.rate > own.rate);
--- a/crates/ebonystand-core/tests/allowance/main.rs
+++ b/crates/ebonystand-core/tests/allowance/main.rs
@@ -1,4 +1,5 @@
-//! The fleet-wide allowance: bound, leases, demand.
+//! Tests of the fleet-wide allowance: the bound on each window, leases, grants and admission under
+//! load.
 
 use {
     ebonystand_core::{
@@ -6,8 +7,8 @@
         Region, RegionId, Reservation, TicketId, Tokens, VmId, Workspace, WorkspaceId,
     },
     fleet::{Fleet, Noise, Request},
-    matrix::{Fault, Step, moved_holder, take_all},
-    observer::{Bound, admitted_by_buckets, check_windows, wrongful_refusals},
+    matrix::{Fault, Step, moved_holder, overload},
+    observer::{Bound, admitted_by_buckets, check_windows, count_wrongful_refusals},
     rand::{Rng, SeedableRng},
     rand_pcg::Pcg64Mcg,
     rstest::rstest,
@@ -28,7 +29,7 @@
 const BURST: Tokens = 2_000;
 const RATE: Tokens = 1_000;
 
-/// Three regions 30 ms apart, with one workspace `w` that may be served in all of them.
+/// Configuration of three regions 30 ms apart, with one workspace `w` served in all of them.
 fn document() -> Document {
     let names: [RegionId; 3] = ["a".into(), "b".into(), "c".into()];
     let link = Link {
@@ -64,7 +65,7 @@
     Duration::from_secs(seconds)
 }
 
-/// What holds from the start.
+/// Bound that holds from the start of a test.
 fn bound(rate: Tokens, burst: Tokens) -> Bound {
     let from = Duration::ZERO;
     Bound { burst, from, rate }
--- a/crates/ebonystand-core/tests/allowance/matrix.rs
+++ b/crates/ebonystand-core/tests/allowance/matrix.rs
@@ -1,8 +1,9 @@
-//! Every fault at every step of a lease, each alone and followed by a second fault.
+//! Each fault at each step of a lease, alone and followed by a second fault.
 
 use super::*;
 
-/// What befalls a message, its sender, its receiver or their link; the last three end a fault.
+/// Fault of a message, its sender, its receiver or the link between them. The last three end a
+/// fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     CrashReceiver,
@@ -19,7 +20,7 @@
     Thaw,
 }
 
-/// Where a fault strikes.
+/// Protocol step at which a fault strikes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
     Any,
@@ -64,9 +65,9 @@
     Fault::Lose,
 ];
 
-/// Callers take all they can get while a fault strikes one step, and perhaps a second one what
-/// follows. No window may exceed the bound. When all is repaired, one request for nearly the
-/// whole burst must be admitted: no fault may lose a part for good.
+/// No window may exceed the bound, and no fault may lose a part of the allowance for good. Callers
+/// take all they can get while a fault strikes at one step, and perhaps a second fault at a later
+/// one. Once all is repaired, a request for nearly the whole burst must be admitted.
 #[rstest]
 fn a_fault_at_a_step(
     #[values(
@@ -95,7 +96,7 @@
     assert_eq!(struck, cells);
 }
 
-/// Runs one cell; whether all faults found a step to strike.
+/// Runs one pair of faults; returns whether each found a step to strike.
 fn run_cell(step: Step, fault: Fault, then: Option<Fault>) -> bool {
     let mut document = document();
     set_rate(&mut document, RATE, 300);
@@ -107,7 +108,7 @@
     if changes {
         fleet.publish(moved_holder(&fleet.document));
     }
-    take_all(&mut fleet, seconds(if changes { 38 } else { 12 }));
+    overload(&mut fleet, seconds(if changes { 38 } else { 12 }));
     fleet.run(seconds(12));
     fleet.request("vm-a-1", "w", 295, 295);
     fleet.run(seconds(1));
@@ -122,7 +123,7 @@
     fleet.script.is_empty()
 }
 
-/// The next configuration, which gives the part of region a to another VM.
+/// Next configuration, which moves the part of region a to another VM.
 pub fn moved_holder(document: &Document) -> Document {
     let mut document = document.clone();
     document.version += 1;
@@ -132,8 +133,9 @@
     document
 }
 
-/// Requests at several times the rate, from one VM, two regions, and one region in turn.
-pub fn take_all(fleet: &mut Fleet, time: Duration) {
+/// Sends requests at several times the rate: from one VM, from two regions, and from one region, in
+/// turn.
+pub fn overload(fleet: &mut Fleet, time: Duration) {
     let end = fleet.now + time;
     let phases = [
         ["vm-a-1", "vm-a-1"],
@@ -142,10 +144,10 @@
     ];
     while fleet.now < end {
         let phase = phases[(fleet.now.as_millis() / 1_200 % 3) as usize];
-        let vm = phase[fleet.draw(2) as usize];
-        let tokens = 1 + fleet.draw(60);
+        let vm = phase[fleet.draw_below(2) as usize];
+        let tokens = 1 + fleet.draw_below(60);
         fleet.request(vm, "w", tokens, tokens);
-        let wait = 1 + fleet.draw(12);
+        let wait = 1 + fleet.draw_below(12);
         fleet.run(Duration::from_millis(wait));
     }
 }
--- a/crates/ebonystand-core/tests/allowance/observer.rs
+++ b/crates/ebonystand-core/tests/allowance/observer.rs
@@ -1,21 +1,21 @@
-//! Checks of what a fleet did that use none of the code under test.
+//! Independent checks of what a fleet admitted, which use none of the code under test.
 
 use super::*;
 
-/// Rate and burst that hold from a moment on; a larger one before it counts for as long as VMs
-/// may still act on it.
+/// Rate and burst in force from a time on. A larger one before it counts for as long as VMs may
+/// still act on it.
 pub struct Bound {
     pub burst: Tokens,
     pub from: Duration,
     pub rate: Tokens,
 }
 
-/// How long a superseded configuration may still be acted on: its adoption and its leases.
-const LINGERS: Duration = Duration::from_millis(15_030);
+/// Time for which VMs may act on a superseded configuration: its adoption and the leases made under
+/// it.
+const SUPERSEDED_FOR: Duration = Duration::from_millis(15_030);
 
-/// Checks every window: the tokens used by the requests admitted in it are at most
-/// burst + rate × time. One bucket over the fleet that never runs dry says the same of all
-/// windows at once.
+/// Checks that the requests admitted in each window use at most burst + rate × time tokens. One
+/// bucket over the fleet that never runs dry proves this for all windows at once.
 pub fn check_windows(
     requests: &[Request],
     workspace: &str,
@@ -44,10 +44,11 @@
     Ok(())
 }
 
+/// Largest rate and burst that a VM may act on at `at`.
 fn in_force(bounds: &[Bound], at: Duration) -> (f64, f64) {
     let ends = |index: usize| {
         let next: Option<&Bound> = bounds.get(index + 1);
-        next.map_or(Duration::MAX, |next| next.from + LINGERS)
+        next.map_or(Duration::MAX, |next| next.from + SUPERSEDED_FOR)
     };
     let active = bounds
         .iter()
@@ -61,16 +62,17 @@
     })
 }
 
-/// Requests that `admits` says were not admitted although one bucket over the whole fleet, filled
-/// when the first request came, would have admitted them.
-pub fn wrongful_refusals(requests: &[Request], admits: impl Fn(usize) -> bool) -> usize {
+/// Counts requests that `admits` says were not admitted although a single bucket over the fleet
+/// would have admitted them. That bucket is full when the first request arrives.
+pub fn count_wrongful_refusals(requests: &[Request], admits: impl Fn(usize) -> bool) -> usize {
     let ideal = admitted_by_buckets(requests, 1, |_| "");
     (0..requests.len())
         .filter(|index| ideal[*index] && !admits(*index))
         .count()
 }
 
-/// What buckets admit that each hold one of `count` equal parts of rate and burst.
+/// Simulates `count` separate buckets with equal parts of rate and burst; returns which requests
+/// they admit.
 pub fn admitted_by_buckets<'a>(
     requests: &'a [Request],
     count: Tokens,
