--- a/crates/ebonystand-core/src/allowance/allowance_configure.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_configure.rs
@@ -94,9 +94,9 @@
     /// Drops workspaces that the document no longer has, returns their leases and refuses their
     /// requests.
     fn remove_workspaces(&mut self, now: Duration, document: &Document) {
-        let gone = |id: &&WorkspaceId| !document.workspaces.contains_key(*id);
-        let gone: Vec<WorkspaceId> = self.plans.keys().filter(gone).cloned().collect();
-        for id in gone {
+        let is_removed = |id: &&WorkspaceId| !document.workspaces.contains_key(*id);
+        let removed_ids: Vec<WorkspaceId> = self.plans.keys().filter(is_removed).cloned().collect();
+        for id in removed_ids {
             let Some(plan) = self.plans.remove(&id) else {
                 continue;
             };
--- a/crates/ebonystand-core/src/allowance/allowance_lender.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_lender.rs
@@ -55,11 +55,11 @@
         let before = self.lent.len();
         let total = &mut self.lent_total;
         self.lent.retain(|_, lease| {
-            let lasts = now < lease.expires_at;
-            if !lasts {
+            let is_live = now < lease.expires_at;
+            if !is_live {
                 *total = total.saturating_sub(lease.part);
             }
-            lasts
+            is_live
         });
         if self.lent.len() != before {
             self.update_free_part(now, bucket);
@@ -220,15 +220,15 @@
         cx: &AllowanceCx,
     ) {
         let mut tokens = 0_u64;
-        for back in leases {
-            let Some(lease) = self.find_lease(from, back.hold.lease, cx) else {
+        for returned in leases {
+            let Some(lease) = self.find_lease(from, returned.hold.lease, cx) else {
                 continue;
             };
-            if back.sequence > lease.last_return {
-                lease.last_return = back.sequence;
-                tokens = tokens.saturating_add(back.tokens.min(lease.part.capacity));
+            if returned.sequence > lease.last_return {
+                lease.last_return = returned.sequence;
+                tokens = tokens.saturating_add(returned.tokens.min(lease.part.capacity));
             }
-            self.shrink_lease(from, &back.hold, cx);
+            self.shrink_lease(from, &returned.hold, cx);
         }
         self.update_free_part(now, bucket);
         bucket.add(now, AllowancePart::ZERO, tokens);
@@ -285,32 +285,33 @@
     ) -> (AllowancePart, MicroTokens) {
         let total = self.total_demand(now, own_demand);
         let demand = self.demand_of(now, to);
-        let has = self.lent_to(to);
-        let mut more = self
+        let current = self.lent_to(to);
+        let mut additional = self
             .share_by_demand(demand, total)
-            .saturating_sub(has)
+            .saturating_sub(current)
             .min(self.free);
-        if more.rate < self.part.rate / Self::MIN_LEASE_DIVISOR {
-            more = AllowancePart::ZERO;
+        if additional.rate < self.part.rate / Self::MIN_LEASE_DIVISOR {
+            additional = AllowancePart::ZERO;
         }
         if bucket.level() >= bucket.part().capacity / 4 * 3 {
             // Tokens that accrue to a nearly full bucket are lost, so it lends all that the own
             // callers don't need.
-            more = more.max(
+            additional = additional.max(
                 self.free
                     .saturating_sub(self.share_by_demand(own_demand, total)),
             );
         }
-        let stock = mul_div(bucket.level(), demand, total).min(more.capacity + room);
-        let tokens = stock.max(need).min(self.lendable(room, bucket));
+        let tokens_by_demand =
+            mul_div(bucket.level(), demand, total).min(additional.capacity + room);
+        let tokens = tokens_by_demand.max(need).min(self.lendable(room, bucket));
         // The remaining capacity must hold the remaining tokens.
         let spare = bucket.room() + tokens;
-        let capacity = more
+        let capacity = additional
             .capacity
             .max(tokens.saturating_sub(room))
             .min(spare)
             .min(self.free.capacity);
-        let rate = more.rate;
+        let rate = additional.rate;
         (
             AllowancePart { capacity, rate },
             tokens.min(capacity + room),
@@ -320,8 +321,8 @@
     /// Part that a recall leaves with a borrower: one and a half times its share, since noise in
     /// the demand would otherwise move leases back and forth.
     fn part_to_keep(&self, now: Duration, vm: &VmId, total: MicroTokens) -> AllowancePart {
-        let fair = self.share_by_demand(self.demand_of(now, vm), total);
-        fair.saturating_add(fair.half())
+        let fair_share = self.share_by_demand(self.demand_of(now, vm), total);
+        fair_share.saturating_add(fair_share.half())
     }
 
     /// Sum of the parts lent to a VM.
@@ -339,11 +340,11 @@
         let Some(lease) = self.find_lease(vm, hold.lease, cx) else {
             return;
         };
-        let left = lease.part.min(hold.part);
-        let gone = lease.part.saturating_sub(left);
-        lease.part = left;
-        self.lent_total = self.lent_total.saturating_sub(gone);
-        if left == AllowancePart::ZERO {
+        let remaining = lease.part.min(hold.part);
+        let returned = lease.part.saturating_sub(remaining);
+        lease.part = remaining;
+        self.lent_total = self.lent_total.saturating_sub(returned);
+        if remaining == AllowancePart::ZERO {
             self.lent.remove(&hold.lease.sequence);
         }
     }
--- a/crates/ebonystand-core/src/allowance/allowance_share.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share.rs
@@ -99,12 +99,12 @@
         self.borrowed.sort_by_key(|lease| lease.expires_at);
         let bucket = &mut self.bucket;
         self.borrowed.retain(|lease| {
-            let lasts = now < lease.expires_at;
-            if !lasts {
+            let is_live = now < lease.expires_at;
+            if !is_live {
                 // The lease accrues tokens until it expires, not until the expiry is noticed.
                 bucket.remove(lease.expires_at, lease.part, 0);
             }
-            lasts
+            is_live
         });
         self.update_first_expiry();
     }
--- a/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
@@ -10,8 +10,8 @@
             return;
         }
         let part = self.bucket.part();
-        let slow = part.rate < self.demand.rate(now);
-        if !slow && self.bucket.level() > part.capacity / 4 {
+        let exceeds_rate = part.rate < self.demand.rate(now);
+        if !exceeds_rate && self.bucket.level() > part.capacity / 4 {
             return;
         }
         self.prefetch_after = now + LeaseTerms::PREFETCH_INTERVAL;
@@ -88,11 +88,11 @@
         cx: &mut AllowanceCx,
     ) {
         self.bucket.advance(now);
-        let (mut left, mut tokens) = self.compute_surplus(lender, keep, room);
+        let (mut surplus, mut tokens) = self.compute_surplus(lender, keep, room);
         let mut leases = Vec::new();
         let lent = self.borrowed.iter_mut().filter(|l| l.lender == *lender);
         for lease in lent {
-            let (released, returned) = lease.release(&mut left, &mut tokens, cx);
+            let (released, returned) = lease.release(&mut surplus, &mut tokens, cx);
             // Debited before the message is sent, so that a lost message never duplicates tokens.
             self.bucket.remove(now, released, returned.tokens);
             if released != AllowancePart::ZERO || returned.tokens > 0 {
@@ -123,8 +123,8 @@
         (keep, room): (AllowancePart, MicroTokens),
         cx: &mut AllowanceCx,
     ) {
-        let quiet = now.saturating_sub(self.last_used) >= LeaseTerms::QUIET_THRESHOLD;
-        let keep = if quiet { AllowancePart::ZERO } else { keep };
+        let is_quiet = now.saturating_sub(self.last_used) >= LeaseTerms::QUIET_THRESHOLD;
+        let keep = if is_quiet { AllowancePart::ZERO } else { keep };
         self.return_leases(now, from, (keep, room), Some(recall), cx);
     }
 
@@ -189,19 +189,29 @@
         room: MicroTokens,
     ) -> (AllowancePart, MicroTokens) {
         let lent = self.borrowed.iter().filter(|l| l.lender == *lender);
-        let has = lent.fold(AllowancePart::ZERO, |sum, lease| {
+        let leased = lent.fold(AllowancePart::ZERO, |sum, lease| {
             sum.saturating_add(lease.part)
         });
-        let keep = keep.min(has);
-        let least = keep.accrual(LeaseTerms::RECALL_FILL_TIME).min(has.capacity);
+        let keep = keep.min(leased);
+        let min_capacity = keep
+            .accrual(LeaseTerms::RECALL_FILL_TIME)
+            .min(leased.capacity);
         let level = self.bucket.level();
         let slack = self.bucket.part().capacity.saturating_sub(level);
-        let kept = self.reserved.saturating_add(self.bucket.locked());
-        let tokens = level.min(has.capacity).min(has.capacity - least + room);
-        let most = has.capacity - tokens.saturating_sub(room);
-        let capacity = keep.capacity.max(slack.min(kept)).clamp(least, most);
+        let reserved_room = self.reserved.saturating_add(self.bucket.locked());
+        let tokens = level
+            .min(leased.capacity)
+            .min(leased.capacity - min_capacity + room);
+        let max_capacity = leased.capacity - tokens.saturating_sub(room);
+        let capacity = keep
+            .capacity
+            .max(slack.min(reserved_room))
+            .clamp(min_capacity, max_capacity);
         let rate = keep.rate;
-        (has.saturating_sub(AllowancePart { capacity, rate }), tokens)
+        (
+            leased.saturating_sub(AllowancePart { capacity, rate }),
+            tokens,
+        )
     }
 
     /// Whether the workspace is in use and its leases are few enough to keep.
--- a/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
@@ -91,10 +91,10 @@
     fn gather_tokens(&mut self, now: Duration, cx: &mut AllowanceCx) {
         let first = self.claims.iter().filter(|claim| claim.is_first);
         let need: MicroTokens = first.map(|claim| claim.need).sum();
-        let lacks = need.saturating_sub(self.bucket.level());
-        let served_by_rate =
-            accrual_time(lacks, self.bucket.part().rate) <= LeaseTerms::MAX_QUEUE_WAIT;
-        if served_by_rate || now < self.gather_after || self.is_gathering(now) {
+        let missing = need.saturating_sub(self.bucket.level());
+        let is_served_by_rate =
+            accrual_time(missing, self.bucket.part().rate) <= LeaseTerms::MAX_QUEUE_WAIT;
+        if is_served_by_rate || now < self.gather_after || self.is_gathering(now) {
             return;
         }
         self.gather_after = now + LeaseTerms::RECALL_INTERVAL;
@@ -102,11 +102,11 @@
             claim.waits_for_others = claim.rounds_left > 0;
             claim.rounds_left = claim.rounds_left.saturating_sub(1);
         }
-        let own = cx.vm.clone();
-        self.recall_leases(now, &own, cx);
+        let own_vm = cx.vm.clone();
+        self.recall_leases(now, &own_vm, cx);
         for (to, _) in self.holders.other_regions.clone() {
             let awaited_until = now + cx.recall_timeout();
-            self.send_ask(now, &to, lacks, awaited_until, cx);
+            self.send_ask(now, &to, missing, awaited_until, cx);
         }
     }
 
@@ -124,17 +124,17 @@
         let mut ahead = 0;
         let mut unservable = Vec::new();
         self.claims.retain(|claim| {
-            let lacks = (ahead + claim.need).saturating_sub(self.bucket.level());
-            let for_others =
+            let missing = (ahead + claim.need).saturating_sub(self.bucket.level());
+            let can_gather =
                 (is_gathering && claim.waits_for_others) || (may_gather && claim.rounds_left > 0);
-            let by_rate = accrual_time(lacks, rate) <= LeaseTerms::MAX_QUEUE_WAIT;
-            let waits = now < claim.deadline && (for_others || by_rate);
-            if waits {
+            let is_served_by_rate = accrual_time(missing, rate) <= LeaseTerms::MAX_QUEUE_WAIT;
+            let can_wait = now < claim.deadline && (can_gather || is_served_by_rate);
+            if can_wait {
                 ahead += claim.need;
             } else {
                 unservable.push(claim.clone());
             }
-            waits
+            can_wait
         });
         for claim in unservable {
             let retry_after = self.retry_schedule.schedule_retry(now, claim.need, rate);
--- a/crates/ebonystand-core/src/allowance/grant_ledger.rs
+++ b/crates/ebonystand-core/src/allowance/grant_ledger.rs
@@ -82,16 +82,21 @@
     }
 
     /// Credits unspent tokens, up to what the bucket could have held since the grant.
-    pub(crate) fn refund(&mut self, now: Duration, back: &GrantRefund, bucket: &mut TokenBucket) {
-        let sequence = back.grant.sequence;
+    pub(crate) fn refund(
+        &mut self,
+        now: Duration,
+        returned: &GrantRefund,
+        bucket: &mut TokenBucket,
+    ) {
+        let sequence = returned.grant.sequence;
         if let Ok(index) = self
             .open
             .binary_search_by_key(&sequence, |grant| grant.sequence)
         {
             let grant = &mut self.open[index];
-            if back.sequence > grant.last_refund {
-                grant.last_refund = back.sequence;
-                let tokens = back.tokens.min(grant.tokens);
+            if returned.sequence > grant.last_refund {
+                grant.last_refund = returned.sequence;
+                let tokens = returned.tokens.min(grant.tokens);
                 grant.tokens -= tokens;
                 bucket.return_locked(now, tokens);
             }
@@ -100,9 +105,9 @@
             .binary_search_by_key(&sequence, |grant| grant.sequence)
         {
             let grant = &mut self.expired[index];
-            if back.sequence > grant.last_refund {
-                grant.last_refund = back.sequence;
-                let tokens = back.tokens.min(grant.tokens);
+            if returned.sequence > grant.last_refund {
+                grant.last_refund = returned.sequence;
+                let tokens = returned.tokens.min(grant.tokens);
                 grant.tokens -= tokens;
                 bucket.refund(now, grant.mark, tokens);
             }
--- a/crates/ebonystand-core/src/allowance/state.rs
+++ b/crates/ebonystand-core/src/allowance/state.rs
@@ -78,8 +78,8 @@
     /// Forgets a waiting request whose caller has given up.
     pub fn cancel(&mut self, now: Duration, ticket: TicketId) -> Vec<AllowanceOutput> {
         self.detect_freeze(now);
-        let waits = |share: &&mut AllowanceShare| share.tickets.iter().any(|t| t.id == ticket);
-        if let Some(share) = self.shares.values_mut().find(waits) {
+        let has_ticket = |share: &&mut AllowanceShare| share.tickets.iter().any(|t| t.id == ticket);
+        if let Some(share) = self.shares.values_mut().find(has_ticket) {
             share.cancel_ticket(ticket);
         }
         self.cx.take_outputs()
@@ -201,9 +201,9 @@
     /// Detects from the time since the last call that the VM was frozen, and stops using its own
     /// parts until it has had time to learn of a newer configuration.
     pub(crate) fn detect_freeze(&mut self, now: Duration) {
-        let silent = now.saturating_sub(self.last_call);
+        let since_last_call = now.saturating_sub(self.last_call);
         self.last_call = self.last_call.max(now);
-        if silent <= LeaseTerms::FREEZE_THRESHOLD || self.version.is_none() {
+        if since_last_call <= LeaseTerms::FREEZE_THRESHOLD || self.version.is_none() {
             return;
         }
         self.ready_at = self.ready_at.max(now + LeaseTerms::THAW_DELAY);
--- a/crates/ebonystand-core/src/borrowed_lease.rs
+++ b/crates/ebonystand-core/src/borrowed_lease.rs
@@ -13,18 +13,19 @@
 }
 
 impl BorrowedLease {
-    /// Releases as much of `left` as the lease holds, and `tokens` up to its capacity; reduces both
-    /// by what was released. Returns the released part and the return to send.
+    /// Releases as much of `part_left` as the lease holds, and of `tokens_left` as its capacity
+    /// allows, and subtracts what was released from both. Returns the released part and the return
+    /// to send.
     pub(crate) fn release(
         &mut self,
-        left: &mut AllowancePart,
-        tokens: &mut MicroTokens,
+        part_left: &mut AllowancePart,
+        tokens_left: &mut MicroTokens,
         cx: &mut AllowanceCx,
     ) -> (AllowancePart, LeaseReturn) {
-        let released = self.part.min(*left);
-        let returned = self.part.capacity.min(*tokens);
-        *left = left.saturating_sub(released);
-        *tokens -= returned;
+        let released = self.part.min(*part_left);
+        let returned = self.part.capacity.min(*tokens_left);
+        *part_left = part_left.saturating_sub(released);
+        *tokens_left -= returned;
         self.part = self.part.saturating_sub(released);
         let hold = LeaseHold {
             lease: self.id,
--- a/crates/ebonystand-core/src/demand_meter.rs
+++ b/crates/ebonystand-core/src/demand_meter.rs
@@ -25,22 +25,22 @@
     /// before the current window is estimated from the previous one.
     pub(crate) fn rate(&mut self, now: Duration) -> MicroTokens {
         self.roll_window(now);
-        let left = Self::WINDOW.saturating_sub(now.saturating_sub(self.window_started));
-        let before = mul_div(
+        let uncovered = Self::WINDOW.saturating_sub(now.saturating_sub(self.window_started));
+        let from_previous = mul_div(
             self.previous,
-            left.as_micros() as u64,
+            uncovered.as_micros() as u64,
             Self::WINDOW.as_micros() as u64,
         );
-        (before + self.current) / Self::WINDOW.as_secs()
+        (from_previous + self.current) / Self::WINDOW.as_secs()
     }
 
     /// Starts a new window if the current one has ended.
     fn roll_window(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.window_started);
-        if passed < Self::WINDOW {
+        let elapsed = now.saturating_sub(self.window_started);
+        if elapsed < Self::WINDOW {
             return;
         }
-        self.previous = if passed < Self::WINDOW * 2 {
+        self.previous = if elapsed < Self::WINDOW * 2 {
             self.current
         } else {
             0
--- a/crates/ebonystand-core/src/retry_budget.rs
+++ b/crates/ebonystand-core/src/retry_budget.rs
@@ -1,91 +1,100 @@
 use super::*;
 
-/// Retries that one VM may add to the load, as a share of its recent requests.
+/// Limit on the retries of one VM, as a share of its recent requests.
 ///
-/// When many upstreams fail at once each failed one would otherwise come back as several, and the
-/// upstreams that are left would drown in retries of requests that fail again.
+/// When many upstreams fail at once, each failed request would otherwise come back as several, and
+/// the remaining upstreams would be flooded with retries that fail again.
 ///
-/// The bound holds for any span of [`Self::WINDOW`], wherever it begins. Counted in two windows
-/// that turn together, retries at the end of one and at the beginning of the next but one would add
-/// up to twice the share.
+/// The limit holds in any span of [`Self::WINDOW`], wherever it begins. Counted in two alternating
+/// windows, retries at the end of one window and at the beginning of the next but one could add up
+/// to twice the share.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// The newest last.
-    parts: VecDeque<Part>,
+    /// Counts per interval, the newest last.
+    intervals: VecDeque<Interval>,
 }
 
-/// What came in one [`RetryBudget::PART`].
+/// Counts of one interval of [`RetryBudget::INTERVAL`].
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Interval {
+    /// Index of the interval since the start of the clock.
     number: u64,
     requests: u64,
     retries: u64,
 }
 
 impl RetryBudget {
-    /// Retries that a VM may make in a window however few requests it has.
+    /// Number of retries allowed in a window however few requests there are.
     pub const MIN_RETRIES: u64 = 3;
-    /// Span that the bound holds for.
+    /// Span in which the limit holds.
     pub const WINDOW: Duration = Duration::from_secs(10);
-    /// Time for which a retry counts beyond the window: it reaches its upstream later than it is
-    /// granted, by a connection that has to be opened in another region at most.
-    const DELAY: Duration = Duration::from_millis(500);
-    /// Resolution.
-    const PART: Duration = Duration::from_millis(500);
+    /// Time that a retry counts beyond the window. It reaches its upstream later than it is
+    /// granted, by at most the time to open a connection in another region.
+    const ARRIVAL_DELAY: Duration = Duration::from_millis(500);
+    /// Length of the intervals in which requests and retries are counted.
+    const INTERVAL: Duration = Duration::from_millis(500);
 
-    /// Counts a request of a caller.
+    /// Records a request from a caller.
     pub fn record_request(&mut self, now: Duration) {
-        self.part(now).requests += 1;
+        self.interval_at(now).requests += 1;
     }
 
-    /// Takes a retry from the budget, if the request may be repeated and the budget of
-    /// [`Preset::retry_budget_permille`] has one left. A request of which nothing was sent put no
-    /// load on the upstream that it met closed, so that another try of it costs no budget: held to
-    /// it, requests within their rate failed while most upstreams were up.
+    /// Takes a retry from the budget; returns false if the request must not be repeated or the
+    /// share of [`Preset::retry_budget_permille`] is used up.
+    ///
+    /// A request of which nothing was sent has put no load on the upstream, which refused the
+    /// connection, so another attempt costs no budget. Otherwise, requests within their rate would
+    /// fail while most upstreams are up.
     pub fn try_retry(&mut self, now: Duration, retryable: Retryable, preset: &Preset) -> bool {
         match retryable {
             Retryable::Idempotent => {}
             Retryable::Never => return false,
             Retryable::NotStarted => return true,
         }
-        let current = self.part(now).number;
-        let parts = |span: Duration| (span.as_millis() / Self::PART.as_millis()) as u64;
-        let since = |span| move |part: &&Part| part.number + parts(span) > current;
+        let current = self.interval_at(now).number;
+        let interval_count =
+            |span: Duration| (span.as_millis() / Self::INTERVAL.as_millis()) as u64;
+        let since =
+            |span| move |interval: &&Interval| interval.number + interval_count(span) > current;
         let retries = self
-            .parts
+            .intervals
             .iter()
-            .filter(since(Self::WINDOW + Self::DELAY + Self::PART));
-        let retries = retries.map(|part| part.retries).sum::<u64>();
-        let requests = self.parts.iter().filter(since(Self::WINDOW));
-        let requests = requests.map(|part| part.requests).sum::<u64>();
+            .filter(since(Self::WINDOW + Self::ARRIVAL_DELAY + Self::INTERVAL));
+        let retries = retries.map(|interval| interval.retries).sum::<u64>();
+        let requests = self.intervals.iter().filter(since(Self::WINDOW));
+        let requests = requests.map(|interval| interval.requests).sum::<u64>();
         let allowed = requests * preset.retry_budget_permille / 1_000;
         if retries >= allowed.max(Self::MIN_RETRIES) {
             return false;
         }
-        self.part(now).retries += 1;
+        self.interval_at(now).retries += 1;
         true
     }
 
-    /// The part that `now` lies in; parts that count no more are dropped.
-    fn part(&mut self, now: Duration) -> &mut Part {
-        let number = (now.as_millis() / Self::PART.as_millis()) as u64;
-        let kept = Self::WINDOW + Self::DELAY + Self::PART;
-        let kept = (kept.as_millis() / Self::PART.as_millis()) as u64;
+    /// Counts of the interval that contains `now`; drops intervals that no longer matter.
+    fn interval_at(&mut self, now: Duration) -> &mut Interval {
+        let number = (now.as_millis() / Self::INTERVAL.as_millis()) as u64;
+        let kept_intervals = Self::WINDOW + Self::ARRIVAL_DELAY + Self::INTERVAL;
+        let kept_intervals = (kept_intervals.as_millis() / Self::INTERVAL.as_millis()) as u64;
         while self
-            .parts
+            .intervals
             .front()
-            .is_some_and(|part| part.number + kept <= number)
+            .is_some_and(|interval| interval.number + kept_intervals <= number)
         {
-            self.parts.pop_front();
+            self.intervals.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number < number) {
-            let part = Part {
+        if self
+            .intervals
+            .back()
+            .is_none_or(|interval| interval.number < number)
+        {
+            let interval = Interval {
                 number,
-                ..Part::default()
+                ..Interval::default()
             };
-            self.parts.push_back(part);
+            self.intervals.push_back(interval);
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.intervals.len() - 1;
+        &mut self.intervals[last]
     }
 }
--- a/crates/ebonystand-core/src/retryable.rs
+++ b/crates/ebonystand-core/src/retryable.rs
@@ -1,18 +1,18 @@
-/// Whether a request that failed on an upstream may be sent to another.
+/// Whether a request whose dispatch failed may be sent to another upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Retryable {
-    /// Running it twice does no harm.
+    /// The request may have run, but running it twice does no harm.
     Idempotent,
-    /// It may have run, and running it twice does harm.
+    /// The request may have run and must run only once, or part of its answer has been relayed.
     Never,
-    /// No byte of it has left the VM.
+    /// No byte of the request has left this VM, so it cannot have run.
     NotStarted,
 }
 
 impl Retryable {
-    /// Class of a failed dispatch of a call that must (`once`) or need not run only once.
-    /// `sent` says whether a byte of it may have left the VM, `relayed` whether a byte of an
-    /// answer has reached the caller.
+    /// Classifies a failed dispatch. `once` says whether the request must run at most once, `sent`
+    /// whether a byte of it may have left this VM, and `relayed` whether a byte of an answer has
+    /// reached the caller.
     #[must_use]
     pub fn classify(once: bool, sent: bool, relayed: bool) -> Self {
         match (relayed, sent, once) {
--- a/crates/ebonystand-core/src/workspace_allowance_status.rs
+++ b/crates/ebonystand-core/src/workspace_allowance_status.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A VM's share of a workspace's allowance.
+/// One VM's share of a workspace's allowance, as shown to operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkspaceAllowanceStatus {
-    /// Tokens that it could admit at once.
+    /// Number of tokens that the VM can admit without claiming from others.
     pub available: Tokens,
-    /// The workspace's burst over all VMs.
+    /// Burst of the workspace over all VMs, in tokens.
     pub burst: Tokens,
-    /// The workspace's rate over all VMs, in tokens a second.
+    /// Rate of the workspace over all VMs, in tokens per second.
     pub rate: Tokens,
-    /// This VM's share of the rate, in tokens a second.
+    /// Share of the rate that this VM holds, in tokens per second.
     pub rate_share: Tokens,
-    /// The workspace.
+    /// Workspace that the allowance belongs to.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/tests/allowance_model.rs
+++ b/crates/ebonystand-core/tests/allowance_model.rs
@@ -1,45 +1,62 @@
-//! Exhaustive search of a small specification of share leases: one holder, one borrower, and an
-//! heir that a change of configuration moves the holder's part to. A share is a number of units;
-//! each holds one token and gets one every second tick. An observer keeps one bucket over all.
+//! Exhaustive search of a small model of leases: one holder, one borrower, and a successor to which
+//! a configuration change moves the holder's part.
+//!
+//! A part is a number of units. Each unit holds one token and gains one every second tick. An
+//! observer keeps a single bucket over all VMs, from which each spent token is taken.
 
 use {pathfinding::prelude::bfs, rstest::rstest, std::cell::Cell, std::collections::BTreeSet};
 
-/// Units of the whole.
-const WHOLE: u8 = 2;
-/// Ticks that a lease lasts for its borrower, counted from the ask.
-const LENGTH: u8 = 2;
-/// Ticks that the borrower's clock may lose while a lease lasts: one in any [`PERIOD`].
-const DRIFT: u8 = 1;
-const PERIOD: u8 = LENGTH + DRIFT;
-/// Ticks after which the holder has adopted a change at the latest.
-const ADOPTION: u8 = 2;
+/// Units in the total allowance.
+const TOTAL_UNITS: u8 = 2;
+/// Ticks that a lease lasts on the borrower's clock, counted from the ask.
+const LEASE_TICKS: u8 = 2;
+/// Ticks that the borrower's clock may lose during a lease: one in any [`DRIFT_PERIOD`].
+const DRIFT_TICKS: u8 = 1;
+/// Ticks in which the borrower's clock may lose at most one.
+const DRIFT_PERIOD: u8 = LEASE_TICKS + DRIFT_TICKS;
+/// Ticks within which the holder adopts a configuration change.
+const ADOPTION_TICKS: u8 = 2;
 
+/// Rule of the protocol that a search can switch off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Safeguard {
+    /// Each ask is answered once, so that a duplicated answer adds nothing.
     AskId,
+    /// A borrower checks that a lease is live before each spend.
     CheckAtAdmission,
+    /// The lender deducts what it lends before it sends it.
     DebitBeforeSend,
+    /// The lender keeps a lease for as much longer as clocks may drift.
     DriftBound,
+    /// The borrower counts the lease's length from its ask, not from the answer.
     ExpiryFromAsk,
+    /// The lender renews only what its current part covers.
     RenewOnlyCovered,
+    /// A returned lease is unknown, so that a duplicated return adds nothing.
     ReturnOnce,
+    /// The successor waits until the former holder and its leases have ended.
     SmallerOfOldAndNew,
+    /// A restarted holder waits until its earlier leases have expired.
     WaitAfterRestart,
 }
 
+/// Message in transit; the numbers are identifiers and amounts.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Message {
+    /// Asks for a lease: number of the ask.
     Ask(u8),
-    /// Ask, lease, units, tokens.
+    /// Answers an ask: ask, lease, units, tokens.
     Lend(u8, u8, u8, u8),
-    /// Lease, number of the renewal.
+    /// Asks for a renewal: lease, number of the renewal.
     Renew(u8, u8),
+    /// Confirms a renewal: lease, number of the renewal.
     Renewed(u8, u8),
-    /// Lease, tokens.
+    /// Returns a lease: lease, tokens.
     Return(u8, u8),
 }
 
-/// A lease, or what an ask may become; `left` counts ticks down on its owner's clock.
+/// Lease, or an ask that may become one. `left` counts the ticks until it expires on its owner's
+/// clock.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Lease {
     id: u8,
@@ -47,28 +64,36 @@
     units: u8,
 }
 
+/// State of all VMs, the messages in transit and the observer.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct State {
+    /// Ticks until the holder adopts a configuration change.
     adopts_in: Option<u8>,
     ask: Option<Lease>,
-    broken: bool,
-    /// Faults, asks, renewals that may still come.
-    doubles: u8,
-    fates: u8,
-    asks: u8,
-    renewals: u8,
+    /// Whether a token was spent that the observer's bucket did not hold.
+    bound_exceeded: bool,
+    /// Numbers of duplicates, faults, asks and renewals that may still occur.
+    duplicates_left: u8,
+    faults_left: u8,
+    asks_left: u8,
+    renewals_left: u8,
+    /// Units that the holder has not lent.
     free: u8,
     frozen: bool,
-    heir: Option<u8>,
-    heir_tokens: u8,
+    /// Ticks until the successor uses the part; `None` before the change.
+    successor: Option<u8>,
+    successor_tokens: u8,
     lease: Option<Lease>,
     lent: Vec<Lease>,
+    /// Tokens in the observer's bucket.
     level: u8,
-    net: BTreeSet<Message>,
+    /// Messages that may still be received.
+    in_transit: BTreeSet<Message>,
     next: u8,
-    odd: bool,
-    quiet: u8,
-    /// Number and time left of the newest renewal.
+    is_odd_tick: bool,
+    /// Ticks for which a restarted holder uses nothing.
+    restart_wait: u8,
+    /// Number of the newest renewal, and the ticks for which its answer counts.
     renewal: Option<(u8, u8)>,
     /// Ticks since the borrower's clock lost one.
     since_loss: u8,
@@ -79,47 +104,55 @@
 impl State {
     fn new() -> Self {
         Self {
-            asks: 2,
-            doubles: 1,
-            fates: 3,
-            free: WHOLE,
-            level: WHOLE,
-            renewals: 2,
-            since_loss: PERIOD,
-            tokens: WHOLE,
+            asks_left: 2,
+            duplicates_left: 1,
+            faults_left: 3,
+            free: TOTAL_UNITS,
+            level: TOTAL_UNITS,
+            renewals_left: 2,
+            since_loss: DRIFT_PERIOD,
+            tokens: TOTAL_UNITS,
             ..Self::default()
         }
     }
 
+    /// All states that can follow this one, with the safeguard `off` disabled.
     fn successors(&self, off: Option<Safeguard>) -> Vec<Self> {
-        let has = |safeguard| off != Some(safeguard);
-        let hold = LENGTH + if has(Safeguard::DriftBound) { DRIFT } else { 0 };
-        let mut all = vec![self.tick(false)];
-        if self.since_loss == PERIOD && (self.ask.is_some() || self.lease.is_some()) {
-            all.push(self.tick(true));
+        let is_on = |safeguard| off != Some(safeguard);
+        let lender_ticks = LEASE_TICKS
+            + if is_on(Safeguard::DriftBound) {
+                DRIFT_TICKS
+            } else {
+                0
+            };
+        let mut next_states = vec![self.tick(false)];
+        if self.since_loss == DRIFT_PERIOD && (self.ask.is_some() || self.lease.is_some()) {
+            next_states.push(self.tick(true));
         }
-        self.spend(has(Safeguard::CheckAtAdmission), &mut all);
-        self.borrow(&mut all);
-        self.fail(hold, off, &mut all);
+        self.add_spends(is_on(Safeguard::CheckAtAdmission), &mut next_states);
+        self.add_borrower_steps(&mut next_states);
+        self.add_faults(lender_ticks, off, &mut next_states);
         // A lost message is one that is never received.
-        for message in &self.net {
-            let Some(received) = self.receive(*message, hold, off) else {
+        for message in &self.in_transit {
+            let Some(received) = self.receive(*message, lender_ticks, off) else {
                 continue;
             };
-            if self.doubles > 0 {
-                all.push(received.then(|next| next.doubles -= 1));
+            if self.duplicates_left > 0 {
+                next_states.push(received.with(|next| next.duplicates_left -= 1));
             }
-            all.push(received.then(|next| _ = next.net.remove(message)));
+            next_states.push(received.with(|next| _ = next.in_transit.remove(message)));
         }
-        all.iter_mut().for_each(|next| next.forget(off));
-        all
+        next_states
+            .iter_mut()
+            .for_each(|next| next.drop_dead_messages(off));
+        next_states
     }
 
-    /// Drops messages that nobody will take any more, so that equal states are found equal.
-    fn forget(&mut self, off: Option<Safeguard>) {
+    /// Drops messages that no VM accepts any more, so that equivalent states compare equal.
+    fn drop_dead_messages(&mut self, off: Option<Safeguard>) {
         let (ask, lease, lent) = (self.ask, self.lease, &self.lent);
         let is_lent = |id| lent.iter().any(|lease| lease.id == id);
-        self.net.retain(|message| match *message {
+        self.in_transit.retain(|message| match *message {
             Message::Ask(_) => true,
             Message::Lend(id, ..) => ask.is_some_and(|open| open.id == id),
             Message::Renew(id, _) => is_lent(id),
@@ -129,12 +162,12 @@
         self.renewal = self.renewal.filter(|_| lease.is_some());
     }
 
-    /// Time passes; the borrower's clock may lose the tick.
+    /// Advances time by a tick, which the borrower's clock may lose.
     fn tick(&self, loses: bool) -> Self {
         let mut next = self.clone();
-        next.odd = !self.odd;
-        next.quiet = self.quiet.saturating_sub(1);
-        next.since_loss = PERIOD.min(self.since_loss + 1);
+        next.is_odd_tick = !self.is_odd_tick;
+        next.restart_wait = self.restart_wait.saturating_sub(1);
+        next.since_loss = DRIFT_PERIOD.min(self.since_loss + 1);
         if loses {
             next.since_loss = 1;
         } else {
@@ -151,123 +184,142 @@
             lease.left -= 1;
         }
         next.lent.retain(|lease| lease.left > 0);
-        next.heir = self.heir.map(|wait| wait.saturating_sub(1));
+        next.successor = self.successor.map(|wait| wait.saturating_sub(1));
         next.adopts_in = self.adopts_in.map(|left| left.saturating_sub(1));
-        next.rebase();
-        if next.odd {
+        next.update_free_units();
+        if next.is_odd_tick {
             return next;
         }
-        next.level = WHOLE;
-        next.tokens = if next.quiet == 0 { next.free } else { 0 };
+        next.level = TOTAL_UNITS;
+        next.tokens = if next.restart_wait == 0 { next.free } else { 0 };
         next.tokens_borrowed = next.lease.map_or(0, |lease| lease.units);
-        next.heir_tokens = if next.heir == Some(0) { WHOLE } else { 0 };
+        next.successor_tokens = if next.successor == Some(0) {
+            TOTAL_UNITS
+        } else {
+            0
+        };
         next
     }
 
-    /// The holder's units are those of its part that it has not lent.
-    fn rebase(&mut self) {
-        let part = if self.adopts_in == Some(0) { 0 } else { WHOLE };
+    /// Recomputes the holder's free units: those of its part that are not lent.
+    fn update_free_units(&mut self) {
+        let part = if self.adopts_in == Some(0) {
+            0
+        } else {
+            TOTAL_UNITS
+        };
         let lent: u8 = self.lent.iter().map(|lease| lease.units).sum();
         self.free = part - part.min(lent);
         self.tokens = self.tokens.min(self.free);
     }
 
-    fn then(&self, change: impl FnOnce(&mut Self)) -> Self {
+    /// Copy of the state with a change applied.
+    fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
         next
     }
 
-    fn spend(&self, checks: bool, all: &mut Vec<Self>) {
+    /// Adds the states in which one VM spends a token.
+    fn add_spends(&self, checks: bool, next_states: &mut Vec<Self>) {
         let is_live = self.lease.is_some_and(|lease| lease.left > 0);
         let spent = |change: fn(&mut Self)| {
-            let mut next = self.then(change);
-            next.broken = self.level == 0;
+            let mut next = self.with(change);
+            next.bound_exceeded = self.level == 0;
             next.level = self.level.saturating_sub(1);
             next
         };
-        if self.quiet == 0 && self.tokens > 0 {
-            all.push(spent(|next| next.tokens -= 1));
+        if self.restart_wait == 0 && self.tokens > 0 {
+            next_states.push(spent(|next| next.tokens -= 1));
         }
         if !self.frozen && self.tokens_borrowed > 0 && (is_live || !checks) {
-            all.push(spent(|next| next.tokens_borrowed -= 1));
+            next_states.push(spent(|next| next.tokens_borrowed -= 1));
         }
-        if self.heir_tokens > 0 {
-            all.push(spent(|next| next.heir_tokens -= 1));
+        if self.successor_tokens > 0 {
+            next_states.push(spent(|next| next.successor_tokens -= 1));
         }
     }
 
-    fn borrow(&self, all: &mut Vec<Self>) {
+    /// Adds the states in which the borrower asks for, returns or renews a lease.
+    fn add_borrower_steps(&self, next_states: &mut Vec<Self>) {
         if self.frozen {
             return;
         }
-        if self.lease.is_none() && self.ask.is_none() && self.asks > 0 {
-            all.push(self.then(|next| {
-                next.asks -= 1;
+        if self.lease.is_none() && self.ask.is_none() && self.asks_left > 0 {
+            next_states.push(self.with(|next| {
+                next.asks_left -= 1;
                 next.next += 1;
-                let (id, left, units) = (next.next, LENGTH, 0);
+                let (id, left, units) = (next.next, LEASE_TICKS, 0);
                 next.ask = Some(Lease { id, left, units });
-                next.net.insert(Message::Ask(id));
+                next.in_transit.insert(Message::Ask(id));
             }));
         }
         let Some(lease) = self.lease else {
             return;
         };
-        all.push(self.then(|next| {
+        next_states.push(self.with(|next| {
             let tokens = self.tokens_borrowed;
             (next.lease, next.tokens_borrowed) = (None, 0);
-            next.net.insert(Message::Return(lease.id, tokens));
+            next.in_transit.insert(Message::Return(lease.id, tokens));
         }));
-        if self.renewals > 0 && lease.left > 0 {
-            all.push(self.then(|next| {
-                next.renewals -= 1;
-                next.renewal = Some((self.renewals, LENGTH));
-                next.net.insert(Message::Renew(lease.id, self.renewals));
+        if self.renewals_left > 0 && lease.left > 0 {
+            next_states.push(self.with(|next| {
+                next.renewals_left -= 1;
+                next.renewal = Some((self.renewals_left, LEASE_TICKS));
+                next.in_transit
+                    .insert(Message::Renew(lease.id, self.renewals_left));
             }));
         }
     }
 
-    /// Restart of the holder, freeze and thaw of the borrower, change of configuration.
-    fn fail(&self, hold: u8, off: Option<Safeguard>, all: &mut Vec<Self>) {
+    /// Adds the states after a restart of the holder, a freeze or thaw of the borrower, or a
+    /// configuration change.
+    fn add_faults(&self, lender_ticks: u8, off: Option<Safeguard>, next_states: &mut Vec<Self>) {
         if self.frozen {
-            all.push(self.then(|next| next.frozen = false));
+            next_states.push(self.with(|next| next.frozen = false));
         }
-        if self.fates == 0 {
+        if self.faults_left == 0 {
             return;
         }
-        let fated = self.then(|next| next.fates -= 1);
+        let faulted = self.with(|next| next.faults_left -= 1);
         let waits = off != Some(Safeguard::WaitAfterRestart);
-        all.push(fated.then(|next| {
+        next_states.push(faulted.with(|next| {
             next.lent.clear();
             next.tokens = 0;
-            next.quiet = if waits { hold } else { 0 };
-            next.rebase();
+            next.restart_wait = if waits { lender_ticks } else { 0 };
+            next.update_free_units();
         }));
-        all.push(fated.then(|next| next.frozen = true));
-        if self.heir.is_none() {
+        next_states.push(faulted.with(|next| next.frozen = true));
+        if self.successor.is_none() {
             let waits = off != Some(Safeguard::SmallerOfOldAndNew);
-            all.push(fated.then(|next| {
-                next.adopts_in = Some(ADOPTION);
-                next.heir = Some(if waits { ADOPTION + hold } else { 1 });
+            next_states.push(faulted.with(|next| {
+                next.adopts_in = Some(ADOPTION_TICKS);
+                next.successor = Some(if waits {
+                    ADOPTION_TICKS + lender_ticks
+                } else {
+                    1
+                });
             }));
         }
     }
 
-    fn receive(&self, message: Message, hold: u8, off: Option<Safeguard>) -> Option<Self> {
+    /// State after a message is received; `None` if it is ignored.
+    fn receive(&self, message: Message, lender_ticks: u8, off: Option<Safeguard>) -> Option<Self> {
         let mut next = self.clone();
         match message {
             Message::Ask(ask) => {
-                if self.quiet > 0 || self.free == 0 {
+                if self.restart_wait > 0 || self.free == 0 {
                     return None;
                 }
                 next.next += 1;
                 let (id, tokens, units) = (next.next, self.tokens, self.free);
                 if off != Some(Safeguard::DebitBeforeSend) {
-                    let left = hold;
+                    let left = lender_ticks;
                     next.lent.push(Lease { id, left, units });
                 }
-                next.rebase();
-                next.net.insert(Message::Lend(ask, id, units, tokens));
+                next.update_free_units();
+                next.in_transit
+                    .insert(Message::Lend(ask, id, units, tokens));
             }
             Message::Lend(ask, id, units, tokens) => {
                 let open = self.ask.filter(|open| open.id == ask && !self.frozen)?;
@@ -275,7 +327,7 @@
                     next.ask = None;
                 }
                 let from_ask = off != Some(Safeguard::ExpiryFromAsk);
-                let left = if from_ask { open.left } else { LENGTH };
+                let left = if from_ask { open.left } else { LEASE_TICKS };
                 let units = units + self.lease.map_or(0, |lease| lease.units);
                 next.lease = Some(Lease { id, left, units });
                 next.tokens_borrowed += tokens;
@@ -286,13 +338,13 @@
                     return None;
                 }
                 let lease = next.lent.iter_mut().find(|lease| lease.id == id)?;
-                lease.left = hold;
-                next.net.insert(Message::Renewed(id, number));
+                lease.left = lender_ticks;
+                next.in_transit.insert(Message::Renewed(id, number));
             }
             Message::Renewed(id, number) => {
                 let from_ask = off != Some(Safeguard::ExpiryFromAsk);
                 let (_, left) = self.renewal.filter(|(newest, _)| *newest == number)?;
-                let left = if from_ask { left } else { LENGTH };
+                let left = if from_ask { left } else { LEASE_TICKS };
                 let lease = next.lease.as_mut().filter(|lease| lease.id == id)?;
                 lease.left = lease.left.max(left);
             }
@@ -302,7 +354,7 @@
                     return None;
                 }
                 next.lent.retain(|lease| lease.id != id);
-                next.rebase();
+                next.update_free_units();
                 next.tokens = next.free.min(self.tokens + tokens);
             }
         }
@@ -310,6 +362,7 @@
     }
 }
 
+/// Searches all states; returns their number and the steps of the shortest way to exceed the bound.
 fn search(off: Option<Safeguard>) -> (usize, Option<usize>) {
     let states = Cell::new(0);
     let path = bfs(
@@ -318,13 +371,14 @@
             states.set(states.get() + 1);
             state.successors(off)
         },
-        |state| state.broken,
+        |state| state.bound_exceeded,
     );
     (states.get(), path.map(|path| path.len() - 1))
 }
 
-/// Two asks, two renewals, a doubled message, three of restart, freeze and change, any loss,
-/// delay and order of messages: all that is spent fits one bucket over the fleet.
+/// Guards against spending more than one bucket over the fleet allows. The search covers two asks,
+/// two renewals, one duplicated message and three faults (restart, freeze or configuration change),
+/// with any loss, delay and order of messages.
 #[test]
 fn shares_never_exceed_the_whole() {
     let (states, counterexample) = search(None);
@@ -332,7 +386,7 @@
     assert_eq!(counterexample, None);
 }
 
-/// Each safeguard is needed: without it the search finds a way to spend too much.
+/// Each safeguard is needed: with it switched off, the search finds a way to spend too much.
 #[rstest]
 fn without_a_safeguard_too_much_is_spent(
     #[values(
--- a/crates/ebonystand-core/tests/grant_model.rs
+++ b/crates/ebonystand-core/tests/grant_model.rs
@@ -1,61 +1,79 @@
-//! Exhaustive search of a small specification of grants: one holder, whose bucket gets a token every second
-//! tick, and one VM that claims tokens of it. An observer keeps one bucket over both.
+//! Exhaustive search of a small model of grants: one holder, whose bucket gains a token every
+//! second tick, and one VM that claims tokens from it. An observer keeps a single bucket over both
+//! VMs, from which each spent token is taken.
 
 use {pathfinding::prelude::bfs, rstest::rstest, std::cell::Cell, std::collections::BTreeSet};
 
-/// Tokens that the bucket holds: one, so that it fills while a grant lasts.
-const WHOLE: u8 = 1;
+/// Capacity of the bucket in tokens: one, so that it fills up while a grant lasts.
+const CAPACITY: u8 = 1;
 /// Ticks in which a grant may be spent, counted from the claim.
-const LENGTH: u8 = 2;
-/// Ticks that the claimant's clock may lose in any [`PERIOD`].
-const DRIFT: u8 = 1;
-const PERIOD: u8 = LENGTH + DRIFT;
+const GRANT_TICKS: u8 = 2;
+/// Ticks that the claimant's clock may lose in any [`DRIFT_PERIOD`].
+const DRIFT_TICKS: u8 = 1;
+/// Ticks in which the claimant's clock may lose at most one.
+const DRIFT_PERIOD: u8 = GRANT_TICKS + DRIFT_TICKS;
 
+/// Rule of the protocol that a search can switch off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Safeguard {
+    /// The claimant checks that a grant is live before it spends it.
     CheckAtAdmission,
+    /// Each claim is answered once, so that a duplicated answer adds nothing.
     ClaimId,
+    /// The holder keeps a grant for as much longer as clocks may drift.
     DriftBound,
+    /// The claimant counts the grant's length from its claim, not from the answer.
     ExpiryFromClaim,
+    /// A granted token counts against the bucket's capacity until the grant expires.
     PlaceKept,
+    /// A refunded grant is unknown, so that a duplicated refund adds nothing.
     RefundOnce,
+    /// A restarted holder waits until its earlier grants have expired.
     WaitAfterRestart,
 }
 
+/// Message in transit; the numbers are identifiers.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Message {
+    /// Claims a token: number of the claim.
     Claim(u8),
-    /// Claim, grant.
+    /// Answers a claim: claim, grant.
     Grant(u8, u8),
+    /// Returns an unspent token: grant.
     Refund(u8),
 }
 
-/// A claim or a grant; `left` counts ticks down on its owner's clock.
+/// Claim or grant. `left` counts the ticks until it expires on its owner's clock.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Timed {
     id: u8,
     left: u8,
 }
 
+/// State of both VMs, the messages in transit and the observer.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct State {
-    broken: bool,
+    /// Whether a token was spent that the observer's bucket did not hold.
+    bound_exceeded: bool,
     claim: Option<Timed>,
-    /// Claims, doubled messages and faults that may still come.
-    claims: u8,
-    doubles: u8,
-    fates: u8,
+    /// Numbers of claims, duplicated messages and faults that may still occur.
+    claims_left: u8,
+    duplicates_left: u8,
+    faults_left: u8,
     frozen: bool,
+    /// Grant that the claimant has not spent.
     held: Option<Timed>,
-    /// Tokens of the observer's bucket.
+    /// Tokens in the observer's bucket.
     level: u8,
-    /// Grants whose tokens keep their place.
+    /// Grants that count against the capacity of the holder's bucket.
     locked: Vec<Timed>,
-    net: BTreeSet<Message>,
+    /// Messages that may still be received.
+    in_transit: BTreeSet<Message>,
     next: u8,
-    odd: bool,
+    is_odd_tick: bool,
     /// Ticks for which a restarted holder grants nothing.
-    quiet: u8,
+    restart_wait: u8,
+    /// Ticks since the claimant's clock lost one.
     since_loss: u8,
     tokens: u8,
 }
@@ -63,51 +81,62 @@
 impl State {
     fn new() -> Self {
         Self {
-            claims: 3,
-            doubles: 1,
-            fates: 2,
-            level: WHOLE,
-            since_loss: PERIOD,
-            tokens: WHOLE,
+            claims_left: 3,
+            duplicates_left: 1,
+            faults_left: 2,
+            level: CAPACITY,
+            since_loss: DRIFT_PERIOD,
+            tokens: CAPACITY,
             ..Self::default()
         }
     }
 
+    /// All states that can follow this one, with the safeguard `off` disabled.
     fn successors(&self, off: Option<Safeguard>) -> Vec<Self> {
-        let has = |safeguard| off != Some(safeguard);
-        let hold = LENGTH + if has(Safeguard::DriftBound) { DRIFT } else { 0 };
-        let mut all = vec![self.tick(false)];
-        if self.since_loss == PERIOD && (self.claim.is_some() || self.held.is_some()) {
-            all.push(self.tick(true));
+        let is_on = |safeguard| off != Some(safeguard);
+        let holder_ticks = GRANT_TICKS
+            + if is_on(Safeguard::DriftBound) {
+                DRIFT_TICKS
+            } else {
+                0
+            };
+        let mut next_states = vec![self.tick(false)];
+        if self.since_loss == DRIFT_PERIOD && (self.claim.is_some() || self.held.is_some()) {
+            next_states.push(self.tick(true));
         }
-        self.spend(has(Safeguard::CheckAtAdmission), &mut all);
-        self.claim(&mut all);
-        self.fail(hold, has(Safeguard::WaitAfterRestart), &mut all);
+        self.add_spends(is_on(Safeguard::CheckAtAdmission), &mut next_states);
+        self.add_claims(&mut next_states);
+        self.add_faults(
+            holder_ticks,
+            is_on(Safeguard::WaitAfterRestart),
+            &mut next_states,
+        );
         // A lost message is one that is never received.
-        for message in &self.net {
-            let Some(received) = self.receive(*message, hold, off) else {
+        for message in &self.in_transit {
+            let Some(received) = self.receive(*message, holder_ticks, off) else {
                 continue;
             };
-            if self.doubles > 0 {
-                all.push(received.then(|next| next.doubles -= 1));
+            if self.duplicates_left > 0 {
+                next_states.push(received.with(|next| next.duplicates_left -= 1));
             }
-            all.push(received.then(|next| _ = next.net.remove(message)));
+            next_states.push(received.with(|next| _ = next.in_transit.remove(message)));
         }
-        all
+        next_states
     }
 
-    fn then(&self, change: impl FnOnce(&mut Self)) -> Self {
+    /// Copy of the state with a change applied.
+    fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
         next
     }
 
-    /// Time passes; the claimant's clock may lose the tick.
+    /// Advances time by a tick, which the claimant's clock may lose.
     fn tick(&self, loses: bool) -> Self {
         let mut next = self.clone();
-        next.odd = !self.odd;
-        next.quiet = self.quiet.saturating_sub(1);
-        next.since_loss = PERIOD.min(self.since_loss + 1);
+        next.is_odd_tick = !self.is_odd_tick;
+        next.restart_wait = self.restart_wait.saturating_sub(1);
+        next.since_loss = DRIFT_PERIOD.min(self.since_loss + 1);
         if loses {
             next.since_loss = 1;
         } else {
@@ -122,100 +151,104 @@
             grant.left -= 1;
         }
         next.locked.retain(|grant| grant.left > 0);
-        if !next.odd {
-            next.level = WHOLE.min(next.level + 1);
-            if self.quiet == 0 {
+        if !next.is_odd_tick {
+            next.level = CAPACITY.min(next.level + 1);
+            if self.restart_wait == 0 {
                 next.refill();
             }
         }
         next
     }
 
+    /// Adds a token to the holder's bucket if locked grants leave room for it.
     fn refill(&mut self) {
-        let most = WHOLE.saturating_sub(self.locked.len() as u8);
+        let most = CAPACITY.saturating_sub(self.locked.len() as u8);
         self.tokens = most.min(self.tokens + 1);
     }
 
-    fn spend(&self, checks: bool, all: &mut Vec<Self>) {
+    /// Adds the states in which a token is spent, or a held grant returned.
+    fn add_spends(&self, checks: bool, next_states: &mut Vec<Self>) {
         let spent = |change: fn(&mut Self)| {
-            let mut next = self.then(change);
-            next.broken = self.level == 0;
+            let mut next = self.with(change);
+            next.bound_exceeded = self.level == 0;
             next.level = self.level.saturating_sub(1);
             next
         };
-        if self.quiet == 0 && self.tokens > 0 {
-            all.push(spent(|next| next.tokens -= 1));
+        if self.restart_wait == 0 && self.tokens > 0 {
+            next_states.push(spent(|next| next.tokens -= 1));
         }
         let Some(held) = self.held.filter(|_| !self.frozen) else {
             return;
         };
         if held.left > 0 || !checks {
-            all.push(spent(|next| next.held = None));
+            next_states.push(spent(|next| next.held = None));
         }
-        all.push(self.then(|next| {
+        next_states.push(self.with(|next| {
             next.held = None;
-            next.net.insert(Message::Refund(held.id));
+            next.in_transit.insert(Message::Refund(held.id));
         }));
     }
 
-    fn claim(&self, all: &mut Vec<Self>) {
-        if self.frozen || self.claim.is_some() || self.held.is_some() || self.claims == 0 {
+    /// Adds the state in which the claimant sends a claim.
+    fn add_claims(&self, next_states: &mut Vec<Self>) {
+        if self.frozen || self.claim.is_some() || self.held.is_some() || self.claims_left == 0 {
             return;
         }
-        all.push(self.then(|next| {
-            next.claims -= 1;
+        next_states.push(self.with(|next| {
+            next.claims_left -= 1;
             next.next += 1;
-            let (id, left) = (next.next, LENGTH);
+            let (id, left) = (next.next, GRANT_TICKS);
             next.claim = Some(Timed { id, left });
-            next.net.insert(Message::Claim(id));
+            next.in_transit.insert(Message::Claim(id));
         }));
     }
 
-    /// Restart of the holder, freeze and thaw of the claimant.
-    fn fail(&self, hold: u8, waits: bool, all: &mut Vec<Self>) {
+    /// Adds the states after a restart of the holder, or a freeze or thaw of the claimant.
+    fn add_faults(&self, holder_ticks: u8, waits: bool, next_states: &mut Vec<Self>) {
         if self.frozen {
-            all.push(self.then(|next| next.frozen = false));
+            next_states.push(self.with(|next| next.frozen = false));
         }
-        if self.fates == 0 {
+        if self.faults_left == 0 {
             return;
         }
-        let fated = self.then(|next| next.fates -= 1);
-        all.push(fated.then(|next| {
+        let faulted = self.with(|next| next.faults_left -= 1);
+        next_states.push(faulted.with(|next| {
             next.locked.clear();
             next.tokens = 0;
-            next.quiet = if waits { hold } else { 0 };
+            next.restart_wait = if waits { holder_ticks } else { 0 };
         }));
-        all.push(fated.then(|next| next.frozen = true));
+        next_states.push(faulted.with(|next| next.frozen = true));
     }
 
-    fn receive(&self, message: Message, hold: u8, off: Option<Safeguard>) -> Option<Self> {
-        let has = |safeguard| off != Some(safeguard);
+    /// State after a message is received; `None` if it is ignored.
+    fn receive(&self, message: Message, holder_ticks: u8, off: Option<Safeguard>) -> Option<Self> {
+        let is_on = |safeguard| off != Some(safeguard);
         let mut next = self.clone();
         match message {
             Message::Claim(claim) => {
-                if self.quiet > 0 || self.tokens == 0 {
+                if self.restart_wait > 0 || self.tokens == 0 {
                     return None;
                 }
                 next.tokens -= 1;
                 next.next += 1;
-                let (id, left) = (next.next, hold);
-                if has(Safeguard::PlaceKept) {
+                let (id, left) = (next.next, holder_ticks);
+                if is_on(Safeguard::PlaceKept) {
                     next.locked.push(Timed { id, left });
                 }
-                next.net.insert(Message::Grant(claim, id));
+                next.in_transit.insert(Message::Grant(claim, id));
             }
             Message::Grant(claim, id) => {
                 let open = self.claim.filter(|open| open.id == claim && !self.frozen)?;
-                if has(Safeguard::ClaimId) {
+                if is_on(Safeguard::ClaimId) {
                     next.claim = None;
                 }
-                let from_claim = has(Safeguard::ExpiryFromClaim);
-                let left = if from_claim { open.left } else { LENGTH };
+                let from_claim = is_on(Safeguard::ExpiryFromClaim);
+                let left = if from_claim { open.left } else { GRANT_TICKS };
                 next.held = Some(Timed { id, left });
             }
             Message::Refund(id) => {
                 let place = self.locked.iter().position(|grant| grant.id == id);
-                if place.is_none() && has(Safeguard::RefundOnce) {
+                if place.is_none() && is_on(Safeguard::RefundOnce) {
                     return None;
                 }
                 place.map(|place| next.locked.remove(place));
@@ -226,6 +259,7 @@
     }
 }
 
+/// Searches all states; returns their number and the steps of the shortest way to exceed the bound.
 fn search(off: Option<Safeguard>) -> (usize, Option<usize>) {
     let states = Cell::new(0);
     let path = bfs(
@@ -234,13 +268,14 @@
             states.set(states.get() + 1);
             state.successors(off)
         },
-        |state| state.broken,
+        |state| state.bound_exceeded,
     );
     (states.get(), path.map(|path| path.len() - 1))
 }
 
-/// Three claims, a doubled message, two of restart and freeze, any loss, delay and order of messages: all that
-/// is spent fits one bucket.
+/// Guards against spending more than the bucket allows. The search covers three claims, one
+/// duplicated message and two faults (restart or freeze), with any loss, delay and order of
+/// messages.
 #[test]
 fn grants_never_exceed_the_bucket() {
     let (states, counterexample) = search(None);
@@ -248,7 +283,7 @@
     assert_eq!(counterexample, None);
 }
 
-/// Each safeguard is needed: without it the search finds a way to spend too much.
+/// Each safeguard is needed: with it switched off, the search finds a way to spend too much.
 #[rstest]
 fn without_a_safeguard_too_much_is_spent(
     #[values(
