--- a/crates/ebonystand-core/benches/allowance.rs
+++ b/crates/ebonystand-core/benches/allowance.rs
@@ -63,11 +63,11 @@
         let mut admit = || {
             now += Duration::from_nanos(500);
             next = (next + 7_919) % workspaces;
-            let admission = allowance.admit(now, &names[next], 500);
+            let admission = allowance.admit_request(now, &names[next], 500);
             let Admission::Granted(reservation) = black_box(admission) else {
                 panic!("the part is large enough");
             };
-            allowance.settle(now, reservation, 300);
+            allowance.settle_reservation(now, reservation, 300);
         };
         (0..workspaces).for_each(|_| admit());
         let (plans, shares) = (planned - before, memory() - planned);
@@ -89,7 +89,7 @@
         for step in 0..1_000 {
             now += STEP;
             let asks = (0..workspaces).filter(|number| (number + step) % 100 == 0);
-            asks.for_each(|number| drop(vms[1].admit(now, &name(number), 500)));
+            asks.for_each(|number| drop(vms[1].admit_request(now, &name(number), 500)));
             let mut queue: VecDeque<_> = [(0, vms[0].tick(now)), (1, vms[1].tick(now))].into();
             while let Some((from, outputs)) = queue.pop_front() {
                 for output in outputs {
@@ -98,7 +98,7 @@
                     };
                     counts[from] += 1;
                     bytes[from] += postcard::to_stdvec(&message).map_or(0, |b| b.len());
-                    let answer = vms[1 - from].receive(now, &ids[from], message);
+                    let answer = vms[1 - from].handle_message(now, &ids[from], message);
                     queue.push_back((1 - from, answer));
                 }
             }
--- a/crates/ebonystand-core/src/allowance/state.rs
+++ b/crates/ebonystand-core/src/allowance/state.rs
@@ -9,7 +9,7 @@
 /// See `docs/design/allowance.md`.
 ///
 /// After each call, call [`Self::tick`] at [`Self::deadline`] and carry out the outputs. A message
-/// that [`Self::admit`] queues is among them.
+/// that [`Self::admit_request`] queues is among them.
 #[derive(Debug)]
 pub struct Allowance {
     pub(crate) cx: AllowanceCx,
@@ -58,7 +58,7 @@
 
     /// Requests `tokens` of a workspace's allowance: the prompt's plus the most that may be
     /// generated. After [`Admission::Waiting`], call [`Self::tick`] at once to send the claims.
-    pub fn admit(&mut self, now: Duration, workspace: &str, tokens: Tokens) -> Admission {
+    pub fn admit_request(&mut self, now: Duration, workspace: &str, tokens: Tokens) -> Admission {
         self.detect_freeze(now);
         if !self.open_share(now, workspace) || self.cx.draining {
             let retry_after = Duration::MAX;
@@ -76,7 +76,7 @@
     }
 
     /// Forgets a waiting request whose caller has given up.
-    pub fn cancel(&mut self, now: Duration, ticket: TicketId) -> Vec<AllowanceOutput> {
+    pub fn cancel_request(&mut self, now: Duration, ticket: TicketId) -> Vec<AllowanceOutput> {
         self.detect_freeze(now);
         let has_ticket = |share: &&mut AllowanceShare| share.tickets.iter().any(|t| t.id == ticket);
         if let Some(share) = self.shares.values_mut().find(has_ticket) {
@@ -148,7 +148,7 @@
 
     /// Handles a message from another VM. It may be late, duplicated or out of order, and others
     /// may be lost.
-    pub fn receive(
+    pub fn handle_message(
         &mut self,
         now: Duration,
         from: &VmId,
@@ -163,7 +163,7 @@
 
     /// Settles a reservation of which `used` tokens were spent. The rest is credited as far as the
     /// share could have held it since the reservation.
-    pub fn settle(
+    pub fn settle_reservation(
         &mut self,
         now: Duration,
         reservation: Reservation,
--- a/crates/ebonystand-core/src/reservation.rs
+++ b/crates/ebonystand-core/src/reservation.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Tokens taken for a running request. Pass it to [`Allowance::settle`] exactly once, when the
-/// request ends.
+/// Tokens taken for a running request. Pass it to [`Allowance::settle_reservation`] exactly once,
+/// when the request ends.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Reservation {
     /// Grant that the tokens came with; `None` if they are from this VM's bucket.
--- a/crates/ebonystand-core/tests/allowance/fleet.rs
+++ b/crates/ebonystand-core/tests/allowance/fleet.rs
@@ -233,7 +233,7 @@
         let Some(allowance) = node.allowance.as_mut().filter(|_| !node.frozen) else {
             return;
         };
-        match allowance.admit(local, workspace, reserved) {
+        match allowance.admit_request(local, workspace, reserved) {
             Admission::Granted(reservation) => self.record_admission(vm, index, reservation),
             Admission::Refused { .. } => {}
             Admission::Waiting(ticket) => {
@@ -342,7 +342,9 @@
                 node.inbox.push((from, message));
                 continue;
             }
-            self.call(&to, |allowance, now| allowance.receive(now, &from, message));
+            self.call(&to, |allowance, now| {
+                allowance.handle_message(now, &from, message)
+            });
         }
     }
 
@@ -360,7 +362,7 @@
         for (_, index, reservation) in ended {
             let used = self.requests[index].used;
             self.call(vm, |allowance, now| {
-                allowance.settle(now, reservation, used)
+                allowance.settle_reservation(now, reservation, used)
             });
         }
         self.cancel_late_requests(vm);
@@ -392,7 +394,7 @@
         for ticket in late {
             let node = self.nodes.get_mut(vm).expect("a VM of the fleet");
             if node.waiting.remove(&ticket).is_some() {
-                self.call(vm, |allowance, now| allowance.cancel(now, ticket));
+                self.call(vm, |allowance, now| allowance.cancel_request(now, ticket));
             }
         }
     }
--- a/crates/ebonystand-core/tests/allowance/lease.rs
+++ b/crates/ebonystand-core/tests/allowance/lease.rs
@@ -215,9 +215,9 @@
     };
     let (mut holder, mut borrower) = (start("a"), start("b"));
     (1..5).for_each(|second| drop((holder.tick(seconds(second)), borrower.tick(seconds(second)))));
-    let own = borrower.admit(at(5_000), "w", 660);
+    let own = borrower.admit_request(at(5_000), "w", 660);
     assert!(matches!(own, Admission::Granted(_)));
-    let waits = borrower.admit(at(5_000), "w", 700);
+    let waits = borrower.admit_request(at(5_000), "w", 700);
     assert!(matches!(waits, Admission::Waiting(_)));
     let sent = |outputs: Vec<AllowanceOutput>| {
         let to_other = outputs.into_iter().find_map(|output| match output {
@@ -227,11 +227,11 @@
         to_other.expect("a message between the two")
     };
     let ask = sent(borrower.tick(at(5_000)));
-    let lend = sent(holder.receive(at(5_001), &"vm-b-0".into(), ask));
+    let lend = sent(holder.handle_message(at(5_001), &"vm-b-0".into(), ask));
     let end = at(5_000) + LeaseTerms::BORROWER_TERM;
     let own = borrower.status()[0].held;
-    borrower.receive(end - at(10), &"vm-a-0".into(), lend);
+    borrower.handle_message(end - at(10), &"vm-a-0".into(), lend);
     assert!(borrower.status()[0].held.rate > own.rate);
-    borrower.admit(end + at(10), "w", 1);
+    borrower.admit_request(end + at(10), "w", 1);
     assert_eq!(borrower.status()[0].held, own);
 }
--- a/crates/ebonystand/src/allowance_controller.rs
+++ b/crates/ebonystand/src/allowance_controller.rs
@@ -43,7 +43,10 @@
     ) -> Result<Reserved, Refusal> {
         let this = &node.allowance;
         let now = node.clock.now();
-        let admission = this.allowance.borrow_mut().admit(now, workspace, tokens);
+        let admission = this
+            .allowance
+            .borrow_mut()
+            .admit_request(now, workspace, tokens);
         this.changed.notify_one();
         let answer = match admission {
             Admission::Granted(reservation) => Ok(Reserved::new(node, reservation)),
@@ -96,7 +99,10 @@
     pub(crate) fn receive(node: &Rc<Node>, from: &VmId, message: AllowanceMessage) {
         let this = &node.allowance;
         let now = node.clock.now();
-        let outputs = this.allowance.borrow_mut().receive(now, from, message);
+        let outputs = this
+            .allowance
+            .borrow_mut()
+            .handle_message(now, from, message);
         this.changed.notify_one();
         Self::take(node, outputs);
     }
@@ -195,11 +201,11 @@
         let label = node.metrics.workspace(&reservation.workspace);
         node.metrics.tokens.get_or_create(&label).inc_by(used);
         let now = node.clock.now();
-        let outputs = node
-            .allowance
-            .allowance
-            .borrow_mut()
-            .settle(now, reservation, used);
+        let outputs =
+            node.allowance
+                .allowance
+                .borrow_mut()
+                .settle_reservation(now, reservation, used);
         node.allowance.changed.notify_one();
         AllowanceController::take(node, outputs);
     }
@@ -212,7 +218,7 @@
             return;
         }
         let now = self.node.clock.now();
-        let outputs = this.allowance.borrow_mut().cancel(now, self.ticket);
+        let outputs = this.allowance.borrow_mut().cancel_request(now, self.ticket);
         AllowanceController::take(self.node, outputs);
     }
 }
