--- a/crates/ebonystand-core/src/admission.rs
+++ b/crates/ebonystand-core/src/admission.rs
@@ -7,9 +7,9 @@
     Granted(Reservation),
     /// The allowance does not have enough tokens for the request.
     Refused {
-        /// Time until the fleet has enough tokens at the workspace's rate. [`Duration::MAX`] if it
-        /// never will: the request exceeds the burst, or the workspace is not served in this
-        /// region.
+        /// Time until the fleet has enough tokens at the workspace's rate. [`Duration::MAX`] if
+        /// this VM will never admit the request: it exceeds the burst, the workspace is not served
+        /// in this region, or the VM is leaving.
         retry_after: Duration,
     },
     /// This VM's share has too few tokens and claims them from holders. An [`AllowanceOutput`] with
--- a/crates/ebonystand-core/src/allowance/allowance_configure.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_configure.rs
@@ -38,7 +38,7 @@
         same
     }
 
-    /// Adds the plan of a workspace or updates it.
+    /// Adds a workspace's plan, or updates it if the configuration changes it.
     fn adopt_workspace(
         &mut self,
         now: Duration,
--- a/crates/ebonystand-core/src/allowance/allowance_fleet.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_fleet.rs
@@ -94,7 +94,8 @@
             .any(|region_index| self.regions[usize::from(*region_index)].0 == self.region)
     }
 
-    /// One-way delay to a region; a link configured only in the other direction counts for both.
+    /// One-way delay to a region. A link configured only in the other direction counts for both;
+    /// without any link the delay is 0.
     fn link_delay(&self, to: &RegionId) -> Duration {
         let delay = |from: &RegionId, to: &RegionId| {
             let (_, region) = self.regions.iter().find(|(id, _)| id == from)?;
--- a/crates/ebonystand-core/src/allowance/allowance_item.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_item.rs
@@ -3,7 +3,7 @@
 /// One protocol step for one workspace's allowance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AllowanceItem {
-    /// Protocol step to take.
+    /// Protocol step that the receiver carries out.
     pub action: AllowanceAction,
     /// Workspace whose allowance the step concerns.
     pub workspace: WorkspaceId,
--- a/crates/ebonystand-core/src/allowance/allowance_lender.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_lender.rs
@@ -45,7 +45,7 @@
         self.lent_total
     }
 
-    /// Whether no lease is outstanding.
+    /// Whether no lease is outstanding, so that the lender's state can be dropped.
     pub(crate) fn has_no_leases(&self) -> bool {
         self.lent.is_empty()
     }
@@ -304,7 +304,7 @@
         let tokens_by_demand =
             mul_div(bucket.level(), demand, total).min(additional.capacity + room);
         let tokens = tokens_by_demand.max(need).min(self.lendable(room, bucket));
-        // The remaining capacity must hold the remaining tokens.
+        // The capacity that stays here must hold the tokens that stay here.
         let spare = bucket.room() + tokens;
         let capacity = additional
             .capacity
--- a/crates/ebonystand-core/src/allowance/allowance_output.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_output.rs
@@ -17,11 +17,12 @@
         /// Ticket of the waiting request.
         ticket: TicketId,
     },
-    /// Sends a message to another VM. It may be lost, duplicated or delayed without harm.
+    /// Sends a message to another VM. The bound on admitted tokens holds even if it is lost,
+    /// duplicated or delayed.
     Send {
-        /// Message to send.
+        /// Batch of protocol steps to send.
         message: AllowanceMessage,
-        /// Receiving VM.
+        /// VM that receives the message.
         to: VmId,
     },
 }
--- a/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_borrow.rs
@@ -33,8 +33,8 @@
         let is_answered = |open: &OpenAsk| {
             ask.incarnation == cx.incarnation && ask.sequence == open.sequence && open.to == *from
         };
-        // The ask of a duplicate is closed already. Its tokens are in the bucket, so it must add
-        // none.
+        // A duplicated answer finds its ask closed. Its tokens are in the bucket already, so it
+        // must add none.
         let Some(index) = self.asks.iter().position(is_answered) else {
             return;
         };
--- a/crates/ebonystand-core/src/allowance/allowance_share_claim.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_claim.rs
@@ -68,8 +68,8 @@
                 && open.ticket.0 == claim.sequence
                 && open.to == grant.holder
         };
-        // The claim of a duplicate is closed already. Its tokens may be spent, so it must grant
-        // none.
+        // A duplicated answer finds its claim closed. Its tokens may be spent already, so it must
+        // grant none.
         let Some(index) = self.open_claims.iter().position(answered) else {
             return;
         };
@@ -96,7 +96,8 @@
         self.tickets.retain(|waiting| waiting.id != ticket);
     }
 
-    /// Refuses all waiting requests.
+    /// Refuses all waiting requests with the same retry time, when the VM drains or the workspace
+    /// is removed.
     pub(crate) fn refuse_all_tickets(&mut self, retry_after: Duration, cx: &mut AllowanceCx) {
         let refused = self
             .tickets
@@ -179,7 +180,8 @@
         });
     }
 
-    /// Refuses a waiting request, with the shortest retry time that a holder gave.
+    /// Refuses a waiting request. The retry time is the shortest one that a holder gave, or else
+    /// the time in which the rate accrues the request's tokens.
     fn refuse_ticket(&mut self, id: TicketId, cx: &mut AllowanceCx) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
@@ -192,7 +194,7 @@
         });
     }
 
-    /// Removes a waiting request.
+    /// Removes a waiting request; `None` if it has been answered or cancelled.
     fn remove_ticket(&mut self, id: TicketId) -> Option<AllowanceTicket> {
         let index = self.tickets.iter().position(|ticket| ticket.id == id)?;
         self.tickets.remove(index)
--- a/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_grant.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Time at which a waiting claim can be granted or must be refused; `None` if none waits.
+    /// Time at which the first waiting claim needs attention: the bucket covers it, the awaited
+    /// answers are due, or it must be refused. `None` if no claim waits.
     pub(crate) fn claims_deadline(&self, now: Duration) -> Option<Duration> {
         let front = self.claims.front()?;
         let filled = self
--- a/crates/ebonystand-core/src/allowance/allowance_share_lend.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_lend.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl AllowanceShare {
-    /// Handles one received protocol step.
+    /// Dispatches a received protocol step to its handler.
     pub(crate) fn handle_action(
         &mut self,
         now: Duration,
--- a/crates/ebonystand-core/src/allowance/allowance_share_timer.rs
+++ b/crates/ebonystand-core/src/allowance/allowance_share_timer.rs
@@ -1,4 +1,4 @@
-//! Timers of a share.
+//! Periodic work of a share: expiry, renewals, waiting claims and requests.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/allowance/state.rs
+++ b/crates/ebonystand-core/src/allowance/state.rs
@@ -156,7 +156,7 @@
     ) -> Vec<AllowanceOutput> {
         self.detect_freeze(now);
         for item in message.items {
-            self.receive_item(now, from, item);
+            self.handle_item(now, from, item);
         }
         self.cx.take_outputs()
     }
@@ -186,7 +186,8 @@
         status
     }
 
-    /// Carries out what is due at `now`.
+    /// Carries out what is due at `now`, such as expiries, renewals and refusals of waiting
+    /// requests. Returns all outputs, including the queued messages.
     pub fn tick(&mut self, now: Duration) -> Vec<AllowanceOutput> {
         self.detect_freeze(now);
         while let Some((at, _)) = self.timers.first()
@@ -273,7 +274,7 @@
     }
 
     /// Handles one protocol step; only an ask or a claim brings a workspace into use.
-    fn receive_item(&mut self, now: Duration, from: &VmId, item: AllowanceItem) {
+    fn handle_item(&mut self, now: Duration, from: &VmId, item: AllowanceItem) {
         let action = &item.action;
         if matches!(
             action,
--- a/crates/ebonystand-core/tests/allowance_model.rs
+++ b/crates/ebonystand-core/tests/allowance_model.rs
@@ -132,7 +132,7 @@
         self.add_spends(is_on(Safeguard::CheckAtAdmission), &mut next_states);
         self.add_borrower_steps(&mut next_states);
         self.add_faults(lender_ticks, off, &mut next_states);
-        // A lost message is one that is never received.
+        // Loss needs no step of its own: a lost message stays in transit for ever.
         for message in &self.in_transit {
             let Some(received) = self.receive(*message, lender_ticks, off) else {
                 continue;
--- a/crates/ebonystand-core/tests/grant_model.rs
+++ b/crates/ebonystand-core/tests/grant_model.rs
@@ -111,7 +111,7 @@
             is_on(Safeguard::WaitAfterRestart),
             &mut next_states,
         );
-        // A lost message is one that is never received.
+        // Loss needs no step of its own: a lost message stays in transit for ever.
         for message in &self.in_transit {
             let Some(received) = self.receive(*message, holder_ticks, off) else {
                 continue;
