--- a/crates/ebonystand-core/benches/choice.rs
+++ b/crates/ebonystand-core/benches/choice.rs
@@ -3,7 +3,7 @@
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
     ebonystand_core::{
-        ChoiceQuery, ColdTerms, EngineTerms, ListedUpstream, Place, Prompt, PromptPart,
+        ChoiceQuery, ColdStartLimits, EngineTerms, ListedUpstream, Place, Prompt, PromptPart,
         SharedPrefix, UpstreamBook,
     },
     std::{
@@ -34,12 +34,12 @@
         slots: 64,
         zone: zone_name(engine % 6),
     });
-    book.list(Duration::ZERO, listed.collect());
+    book.update_list(Duration::ZERO, listed.collect());
     for shared in 0..100 {
         let prefixes = SharedPrefix::of(&prompt(shared));
         for holder in 0..HOLDERS {
             let engine = name((shared + holder * 5) % engines);
-            book.keeps(NOW, &engine, &prefixes, None);
+            book.record_cached_prefixes(NOW, &engine, &prefixes, None);
         }
     }
     book
@@ -82,18 +82,18 @@
                 next = (next + 1) % 100;
                 let prompt = prompt(next);
                 let query = ChoiceQuery {
-                    aim: Duration::from_millis(1_200),
-                    cold: ColdTerms::default(),
+                    first_byte_target: Duration::from_millis(1_200),
+                    cold: ColdStartLimits::default(),
                     engine: Some(EngineTerms::default()),
                     evacuated: &evacuated,
                     excluded: &[],
                     homes: None,
-                    left: Duration::from_secs(12),
+                    remaining_time: Duration::from_secs(12),
                     prompt: Some(&prompt),
                     reachable: &reachable,
                     service: "s",
                 };
-                black_box(book.choose(NOW, &query))
+                black_box(book.choose_target(NOW, &query))
             });
         });
     }
--- a/crates/ebonystand-core/src/gateway/attempt_end.rs
+++ b/crates/ebonystand-core/src/gateway/attempt_end.rs
@@ -1,40 +1,44 @@
-/// How sending a request to one upstream ended.
+use derive_more::Debug;
+
+/// How an attempt to send a request to one upstream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer came, and was no failure of the upstream.
+    /// The whole answer arrived and reported no failure of the upstream.
     Answered,
-    /// Its caller left.
+    /// The caller disconnected.
     Cancelled,
-    /// The upstream answered with a failure of its own, having run the request.
+    /// The upstream ran the request and answered that it failed.
     Failed,
-    /// It broke off or answered with what is no answer; the request may have run.
+    /// The connection broke or the answer was malformed; the request may have run.
     Lost,
-    /// It said that it did not run the request, since it is full.
+    /// The upstream was full and answered that it did not run the request.
     Shed,
-    /// Another server has its address.
-    Stranger,
-    /// No answer came in time; the request may have run.
+    /// Another server answered at the upstream's address and did not run the request.
+    #[debug("Stranger")]
+    AddressReused,
+    /// No answer arrived in time; the request may have run.
     TimedOut,
-    /// No connection could be opened, so that nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Unreachable,
 }
 
 impl AttemptEnd {
-    /// Whether the request certainly has not run and never will.
+    /// Returns whether the request has certainly not run and never will.
     #[must_use]
-    pub fn not_run(self) -> bool {
-        matches!(self, Self::Shed | Self::Stranger | Self::Unreachable)
+    pub fn is_known_not_run(self) -> bool {
+        matches!(self, Self::Shed | Self::AddressReused | Self::Unreachable)
     }
 
-    /// Whether an upstream of the service had the request in its hands, and be it to refuse it.
+    /// Returns whether a server of the service received the request, even if it refused it, so that
+    /// the attempt counts against the route's limit.
     #[must_use]
-    pub fn is_attempt(self) -> bool {
-        !matches!(self, Self::Stranger | Self::Unreachable)
+    pub fn is_counted_attempt(self) -> bool {
+        !matches!(self, Self::AddressReused | Self::Unreachable)
     }
 
-    /// Whether a byte of the request may have reached an upstream.
+    /// Returns whether any byte of the request can have reached an upstream.
     #[must_use]
-    pub fn was_sent(self) -> bool {
+    pub fn can_have_reached_upstream(self) -> bool {
         self != Self::Unreachable
     }
 }
--- a/crates/ebonystand-core/src/gateway/choice_query.rs
+++ b/crates/ebonystand-core/src/gateway/choice_query.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// A request, as far as the choice of its upstream looks at it.
+/// Properties of a request that determine which upstream gets it.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceQuery<'a> {
-    /// Time to the first byte that is aimed at.
-    pub aim: Duration,
-    /// What an upstream of its service bears while it is cold.
-    pub cold: ColdTerms,
-    /// What the engines of its service keep and hand over; none for a plain service.
+    /// Target for the time to the first byte.
+    pub first_byte_target: Duration,
+    /// Load limits of the service's upstreams while they are cold.
+    pub cold: ColdStartLimits,
+    /// Cache and link of the service's engines; `None` for a plain service.
     pub engine: Option<EngineTerms>,
-    /// Zones whose upstreams get nothing.
+    /// Evacuated zones, whose upstreams get no requests.
     pub evacuated: &'a BTreeSet<ZoneId>,
-    /// Upstreams that must not get it, because they failed it.
+    /// Upstreams that already failed the request and must not get it again.
     pub excluded: &'a [UpstreamId],
-    /// Regions that may serve it; `None` if all may.
+    /// Regions that may serve the request; `None` if all may.
     pub homes: Option<&'a BTreeSet<RegionId>>,
-    /// Time left for it.
-    pub left: Duration,
-    /// What it says of its prompt.
+    /// Time left until the deadline of the request.
+    pub remaining_time: Duration,
+    /// Prompt of the request; `None` if it carries none.
     pub prompt: Option<&'a Prompt>,
-    /// Other regions with a VM that takes forwarded requests; empty for a request that was
-    /// forwarded already.
+    /// Other regions with a VM that accepts forwarded requests; empty if the request was already
+    /// forwarded.
     pub reachable: &'a BTreeSet<RegionId>,
-    /// Service that serves it.
+    /// Service that the request is for.
     pub service: &'a str,
 }
 
 impl ChoiceQuery<'_> {
-    /// Whether a region may serve the request.
+    /// Returns whether `region` may serve the request.
     #[must_use]
-    pub fn allows(&self, region: &str) -> bool {
+    pub fn is_region_allowed(&self, region: &str) -> bool {
         self.homes.is_none_or(|homes| homes.contains(region))
     }
 }
--- a/crates/ebonystand-core/src/gateway/gateway_route.rs
+++ b/crates/ebonystand-core/src/gateway/gateway_route.rs
@@ -1,43 +1,44 @@
 use super::*;
 
-/// Where requests for a host and a path prefix go, and what may be done with them.
+/// Route: which services get the requests for a host and path prefix, and how these requests are
+/// handled.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayRoute {
-    /// Time to the first byte of an answer that the operator aims at, in milliseconds.
+    /// Operator's target for the time to the first byte of an answer, in milliseconds.
     pub aim_ms: u64,
-    /// Upstreams that one try of a caller may be sent to.
+    /// Most upstreams to which one request of a caller may be sent.
     pub attempts: u32,
-    /// Whether its requests carry prompts whose parts are worth keeping on one upstream.
+    /// Whether requests carry prompts that benefit from the caches of engines.
     pub has_prompts: bool,
-    /// Regions that may serve it; empty if all may.
+    /// Regions that may serve the route; empty if all may.
     pub homes: BTreeSet<RegionId>,
-    /// Host that callers name, without a port.
+    /// Host name that callers request, without a port.
     pub host: Box<str>,
-    /// What may be repeated.
+    /// Execution guarantee of the route's calls and the form of their answers.
     pub kind: CallKind,
-    /// Name.
+    /// Name of the route in logs and in the configuration.
     pub name: Box<str>,
-    /// Longest pause between two events of a stream that is still on time, in milliseconds.
+    /// Longest pause between two events of a stream that still counts as on time, in milliseconds.
     pub pause_ms: u64,
-    /// Path that it begins with; begins and ends with a slash.
+    /// Path prefix of the route; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Whether it is served without a key.
+    /// Whether requests are served without a key.
     pub public: bool,
-    /// Rank, 0 being the first.
+    /// Priority rank of the requests; 0 is served first.
     pub rank: u8,
-    /// Whether a stream may go on at another upstream where it broke off.
+    /// Whether a broken stream may be continued at another upstream.
     pub resumable: bool,
-    /// Services that take its requests.
-    pub split: Vec<SplitPart>,
-    /// Longest time that a request may take, in milliseconds.
+    /// Services that share the requests, with their weights.
+    pub split: Vec<WeightedService>,
+    /// Longest duration of a request, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl GatewayRoute {
-    /// Whether a request of this route may run a second time.
+    /// Returns whether a request of this route may run a second time.
     #[must_use]
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             CallKind::Idempotent => true,
             CallKind::Once => false,
@@ -45,11 +46,11 @@
         }
     }
 
-    /// The service for a request with this hash. Equal hashes go to equal services, so that what
-    /// a service has cached is found again.
+    /// Returns the service for a request with this hash, drawn by weight; `None` if all weights are
+    /// 0. Equal hashes get the same service, so that its cached prompts are used again.
     #[must_use]
-    pub fn service(&self, hash: u64) -> Option<&ServiceId> {
-        let sum = self.weight();
+    pub fn select_service(&self, hash: u64) -> Option<&ServiceId> {
+        let sum = self.total_weight();
         if sum == 0 {
             return None;
         }
@@ -63,9 +64,9 @@
         None
     }
 
-    /// Sum of the weights.
+    /// Returns the sum of the weights of all services.
     #[must_use]
-    pub fn weight(&self) -> u64 {
+    pub fn total_weight(&self) -> u64 {
         self.split
             .iter()
             .fold(0, |sum: u64, part| sum.saturating_add(part.weight))
--- a/crates/ebonystand-core/src/gateway/gateway_service.rs
+++ b/crates/ebonystand-core/src/gateway/gateway_service.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// A service that routes send requests to.
+/// Service to which routes send requests, as configured.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayService {
-    /// What its upstreams bear while they are cold.
-    pub cold: ColdTerms,
-    /// Connections that one upstream takes from all VMs together.
+    /// Load limits of the service's upstreams while they are cold.
+    pub cold: ColdStartLimits,
+    /// Connections that one upstream accepts from all VMs together.
     pub connections: u64,
-    /// What its upstreams keep of prompts, if they are model engines; none for a plain service.
+    /// Cache and link of the service's model engines; `None` for a plain service.
     pub engine: Option<EngineTerms>,
-    /// Path of the health check.
+    /// HTTP path of the upstreams' health check.
     pub health_path: Box<str>,
-    /// Name.
+    /// Name by which routes and upstreams refer to the service.
     pub name: ServiceId,
 }
--- a/crates/ebonystand-core/src/gateway/holder_plan.rs
+++ b/crates/ebonystand-core/src/gateway/holder_plan.rs
@@ -1,26 +1,28 @@
 use super::*;
 
-/// Which VMs hold the parts of the allowances.
+/// Assigns the holders of the allowances in each region.
 #[derive(Clone, Debug)]
 pub struct HolderPlan<'a> {
-    /// VMs with a log that are live, with their regions.
+    /// Live VMs that hold the replicated log, with their regions.
     pub live: &'a [(VmId, RegionId)],
-    /// One-way delay to assume between two regions.
-    pub delay: Duration,
-    /// Regions as they are now.
-    pub present: &'a BTreeMap<RegionId, Region>,
-    /// All regions that there are.
+    /// One-way delay assumed between any two regions.
+    pub region_delay: Duration,
+    /// Regions with their holders and links as currently in force.
+    pub current: &'a BTreeMap<RegionId, Region>,
+    /// Names of all regions.
     pub regions: &'a BTreeSet<RegionId>,
 }
 
 impl HolderPlan<'_> {
-    /// Megabits a second that a link is taken to have; allowances alone go over it.
-    const MEGABITS: u64 = 100;
+    /// Capacity assumed for a link between regions, in megabits per second; only allowance messages
+    /// are charged against it.
+    const ASSUMED_LINK_MEGABITS: u64 = 100;
 
-    /// Regions with their holders. A region keeps its holders while one of them is live: a part
-    /// that moves rests for [`LeaseTerms::HANDOVER`], in which its tokens are missing.
+    /// Returns all regions with their holders. A region keeps its holders while one of them is
+    /// live: a part that moves to another VM is unusable for [`LeaseTerms::HANDOVER`], and its
+    /// tokens are missing meanwhile.
     #[must_use]
-    pub fn regions(&self) -> BTreeMap<RegionId, Region> {
+    pub fn plan_regions(&self) -> BTreeMap<RegionId, Region> {
         let regions = self.regions.iter();
         regions.map(|id| (id.clone(), self.region(id))).collect()
     }
@@ -28,8 +30,8 @@
     fn region(&self, id: &RegionId) -> Region {
         let links = self.regions.iter().filter(|to| *to != id).map(|to| {
             let link = Link {
-                delay_ms: millis(self.delay),
-                megabits: Self::MEGABITS,
+                delay_ms: millis(self.region_delay),
+                megabits: Self::ASSUMED_LINK_MEGABITS,
             };
             (to.clone(), link)
         });
@@ -41,7 +43,7 @@
 
     fn holders(&self, id: &RegionId) -> Vec<VmId> {
         let is_live = |vm: &VmId| self.live.iter().any(|(live, _)| live == vm);
-        if let Some(region) = self.present.get(id)
+        if let Some(region) = self.current.get(id)
             && region.holders.iter().any(is_live)
         {
             return region.holders.clone();
--- a/crates/ebonystand-core/src/gateway/known_upstream.rs
+++ b/crates/ebonystand-core/src/gateway/known_upstream.rs
@@ -1,57 +1,70 @@
 use super::*;
 
-/// An upstream as one VM knows it.
+/// State that one VM keeps about an upstream: its entry on the list and what its answers have
+/// shown.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownUpstream {
-    /// Until when it counts as cold.
+    /// Time until which the upstream counts as cold.
     pub(crate) cold_until: Duration,
-    pub(crate) gate: ColdGate,
-    /// Another server has its address: it is not there any more, whatever the list says.
-    pub(crate) is_gone: bool,
+    /// Rate limit for requests sent while the upstream is cold.
+    pub(crate) cold_limiter: ColdStartLimiter,
+    /// Whether another server answers at the address, so that this one is gone whatever the list
+    /// says.
+    pub(crate) is_address_reused: bool,
+    /// Requests of this VM that have been sent and have not ended.
     pub(crate) in_flight: u32,
+    /// Short name of the upstream in messages between VMs.
     pub(crate) key: UpstreamKey,
+    /// Entry of the upstream on the list.
     pub(crate) listed: ListedUpstream,
-    /// Time that a request takes, smoothed.
-    pub(crate) pace: Duration,
-    pub(crate) prefixes: PrefixMemory,
-    /// Region of its zone; `None` if the zone is not known.
+    /// Smoothed duration of a request while no other one waits.
+    pub(crate) call_duration: Duration,
+    /// Prompt parts that this VM has sent to the upstream.
+    pub(crate) sent_prefixes: SentPrefixes,
+    /// Region of the upstream's zone; `None` if the zone is unknown.
     pub(crate) region: Option<RegionId>,
-    pub(crate) report: Option<(Duration, ReportedSlots)>,
-    /// Requests sent since the last report.
-    pub(crate) sent_since: u32,
-    /// Prompt tokens read in a millisecond, smoothed.
-    pub(crate) speed: f64,
-    /// Share of its requests that it fails, smoothed.
-    pub(crate) failing: f64,
-    pub(crate) strikes: u32,
-    /// Until when it gets nothing, having failed.
-    pub(crate) suspect_until: Duration,
-    /// Work of this VM's requests that have not begun: prompt tokens that an engine has to read, or
-    /// calls.
-    pub(crate) window: Window,
+    /// Last load report of the upstream, with the time of its arrival.
+    pub(crate) last_report: Option<(Duration, ReportedSlots)>,
+    /// Requests sent by this VM since the last load report.
+    pub(crate) sent_since_report: u32,
+    /// Smoothed number of prompt tokens that the engine reads per millisecond.
+    pub(crate) reading_speed: f64,
+    /// Smoothed share of requests that the upstream itself fails, from 0 to 1.
+    pub(crate) failure_rate: f64,
+    /// Timeouts and failed connections since the last answer.
+    pub(crate) consecutive_failures: u32,
+    /// Time until which the upstream is passed over because it timed out or could not be reached.
+    pub(crate) backoff_until: Duration,
+    /// Limit on the work of this VM's requests whose answers have not begun: prompt tokens for an
+    /// engine.
+    pub(crate) work_window: WorkWindow,
 }
 
 impl KnownUpstream {
-    /// Speed assumed of an engine that has not been measured, in prompt tokens a millisecond; low,
-    /// so that the first requests spread.
-    pub(crate) const FIRST_SPEED: f64 = 50.0;
-    /// Time assumed of a call that has not been measured.
-    const FIRST_PACE: Duration = Duration::from_millis(40);
-    /// Calls of a plain service under way for each slot: one that runs and one that follows.
-    const CALLS_A_SLOT: u32 = 2;
-    /// A report that is older tells nothing.
-    const REPORT_LIFE: Duration = Duration::from_millis(1_500);
-    /// Weight of a new measurement.
+    /// Reading speed assumed before the first measurement, in prompt tokens per millisecond; low,
+    /// so that the first requests spread over the engines.
+    pub(crate) const INITIAL_READING_SPEED: f64 = 50.0;
+    /// Call duration assumed before the first measurement.
+    const INITIAL_CALL_DURATION: Duration = Duration::from_millis(40);
+    /// Calls per slot that may be in flight at a plain service: one that runs and one that is
+    /// queued behind it.
+    const CALLS_PER_SLOT: u32 = 2;
+    /// Age from which a load report is ignored.
+    const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
+    /// Weight of a new sample in the exponential averages.
     const SMOOTHING: f64 = 0.2;
-    /// Work below which a measured time says more of the network than of the engine, in tokens.
-    const MEASURED_WORK: Tokens = 1_000;
-    /// First wait after a failure; each further one doubles it up to [`Self::LONGEST_STRIKE`].
-    const STRIKE: Duration = Duration::from_millis(500);
-    const LONGEST_STRIKE: Duration = Duration::from_secs(4);
-
-    /// Window of a VM that has sent an engine nothing yet, in prompt tokens: some usual prompts.
-    const FIRST_TOKENS: u64 = 12_000;
-
+    /// Least work, in tokens, from which reading speed is measured; with less, the network
+    /// dominates the measured time.
+    const MIN_MEASURED_TOKENS: Tokens = 1_000;
+    /// First backoff after a failure; each further failure doubles it, up to [`Self::MAX_BACKOFF`].
+    const MIN_BACKOFF: Duration = Duration::from_millis(500);
+    /// Longest backoff after a failure.
+    const MAX_BACKOFF: Duration = Duration::from_secs(4);
+
+    /// Initial size of the work window, in prompt tokens; fits a few typical prompts.
+    const INITIAL_WINDOW_TOKENS: u64 = 12_000;
+
+    /// Creates the state of an upstream that has just appeared on the list.
     pub(crate) fn new(
         listed: ListedUpstream,
         region: Option<RegionId>,
@@ -59,123 +72,142 @@
     ) -> Self {
         Self {
             cold_until,
-            gate: ColdGate::default(),
-            is_gone: false,
+            cold_limiter: ColdStartLimiter::default(),
+            is_address_reused: false,
             in_flight: 0,
             key: UpstreamKey::from(&*listed.instance),
             listed,
-            pace: Self::FIRST_PACE,
-            prefixes: PrefixMemory::default(),
+            call_duration: Self::INITIAL_CALL_DURATION,
+            sent_prefixes: SentPrefixes::default(),
             region,
-            report: None,
-            sent_since: 0,
-            speed: Self::FIRST_SPEED,
-            failing: 0.0,
-            strikes: 0,
-            suspect_until: Duration::ZERO,
-            window: Window::new(Self::FIRST_TOKENS),
+            last_report: None,
+            sent_since_report: 0,
+            reading_speed: Self::INITIAL_READING_SPEED,
+            failure_rate: 0.0,
+            consecutive_failures: 0,
+            backoff_until: Duration::ZERO,
+            work_window: WorkWindow::new(Self::INITIAL_WINDOW_TOKENS),
         }
     }
 
-    /// Requests that occupy or wait for a slot, as far as this VM can tell. `others` is what the
-    /// other VMs of the region have under way.
-    pub(crate) fn occupied(&self, now: Duration, others: UnderWay) -> u32 {
-        let told = self.report(now).map(|(_, slots)| slots);
-        let told = told.map_or(0, |slots| slots.running + slots.waiting + self.sent_since);
-        told.max(self.in_flight + others.requests)
+    /// Returns the number of requests that occupy or wait for a slot, from the upstream's last
+    /// report and from the requests that this VM and its peers (`others`) have in flight, whichever
+    /// is larger.
+    pub(crate) fn pending_requests(&self, now: Duration, others: UnderWay) -> u32 {
+        let reported = self.fresh_report(now).map(|(_, slots)| slots);
+        let reported = reported.map_or(0, |slots| {
+            slots.running + slots.waiting + self.sent_since_report
+        });
+        reported.max(self.in_flight + others.requests)
     }
 
-    /// What this VM has under way here.
+    /// Returns the requests that this VM has in flight at the upstream.
     pub(crate) fn under_way(&self) -> UnderWay {
         UnderWay {
             requests: self.in_flight,
-            unread: self.window.used(),
+            unread: self.work_window.used(),
         }
     }
 
-    /// Time to the first byte of an engine that must read `unread` tokens.
-    pub(crate) fn engine_delay(&self, now: Duration, unread: Tokens, others: UnderWay) -> Duration {
-        let work = self.window.used() + others.unread + unread;
+    /// Predicts the time to the first byte of a prompt of which the engine must read `unread`
+    /// tokens.
+    pub(crate) fn predict_first_byte(
+        &self,
+        now: Duration,
+        unread: Tokens,
+        others: UnderWay,
+    ) -> Duration {
+        let work = self.work_window.used() + others.unread + unread;
         let slots = self.listed.slots.max(1);
-        let waiting = (self.occupied(now, others) + 1).saturating_sub(slots);
-        // One of the slots becomes free each time that part of a request's time has passed.
-        self.reading(work) + self.pace / slots * waiting
+        let waiting = (self.pending_requests(now, others) + 1).saturating_sub(slots);
+        // On average, a slot becomes free once per call duration divided by the number of slots.
+        self.reading_time(work) + self.call_duration / slots * waiting
     }
 
-    /// Time in which the engine reads so many prompt tokens.
-    pub(crate) fn reading(&self, tokens: Tokens) -> Duration {
-        Duration::from_secs_f64(tokens as f64 / self.speed / 1_000.0)
+    /// Returns the time that the engine takes to read `tokens` prompt tokens.
+    pub(crate) fn reading_time(&self, tokens: Tokens) -> Duration {
+        Duration::from_secs_f64(tokens as f64 / self.reading_speed / 1_000.0)
     }
 
-    /// Whether a request fits that has `work` to be read, or is a call.
-    pub(crate) fn has_room(
+    /// Returns whether there is a slot and, for an engine, whether its work window fits `work` more
+    /// prompt tokens.
+    pub(crate) fn can_accept(
         &self,
         now: Duration,
         is_engine: bool,
         work: u64,
         others: UnderWay,
     ) -> bool {
-        let fits = !is_engine || self.window.fits(work, others.unread);
-        fits && self.has_slot(now, is_engine, others)
+        let fits = !is_engine || self.work_window.has_room_for(work, others.unread);
+        fits && self.has_free_slot(now, is_engine, others)
     }
 
-    /// Whether a slot is free, or soon will be for a call.
-    pub(crate) fn has_slot(&self, now: Duration, is_engine: bool, others: UnderWay) -> bool {
-        let requests = if is_engine { 1 } else { Self::CALLS_A_SLOT };
-        self.occupied(now, others) < self.listed.slots * requests
+    /// Returns whether a slot is free or, for a plain call, will be free soon.
+    pub(crate) fn has_free_slot(&self, now: Duration, is_engine: bool, others: UnderWay) -> bool {
+        let requests = if is_engine { 1 } else { Self::CALLS_PER_SLOT };
+        self.pending_requests(now, others) < self.listed.slots * requests
     }
 
-    /// Time that a call takes here.
-    pub(crate) fn call_delay(&self, now: Duration, others: UnderWay) -> Duration {
+    /// Predicts the duration of a call to a plain service, including its wait for a slot.
+    pub(crate) fn predict_call_duration(&self, now: Duration, others: UnderWay) -> Duration {
         let slots = self.listed.slots.max(1);
-        let turns = 1.0 + f64::from(self.occupied(now, others)) / f64::from(slots);
-        self.pace.mul_f64(turns)
+        let turns = 1.0 + f64::from(self.pending_requests(now, others)) / f64::from(slots);
+        self.call_duration.mul_f64(turns)
     }
 
-    /// Notes an answer that was a failure of the upstream's own, or was not. One that fails part of
-    /// its requests is still better than none, so it is only passed over for a sounder one.
-    pub(crate) fn observe(&mut self, failed: bool) {
+    /// Updates the failure rate with an attempt that the upstream failed or did not fail. An
+    /// upstream that fails some of its requests is better than none, so the rate only makes sounder
+    /// upstreams preferred.
+    pub(crate) fn update_failure_rate(&mut self, failed: bool) {
         let sample = f64::from(u8::from(failed));
-        self.failing = self.failing * (1.0 - Self::SMOOTHING) + sample * Self::SMOOTHING;
+        self.failure_rate = self.failure_rate * (1.0 - Self::SMOOTHING) + sample * Self::SMOOTHING;
     }
 
-    /// Delay with what its failures cost: each of them is answered by another try.
-    pub(crate) fn weighed(&self, delay: Duration) -> Duration {
-        /// Time that a failed try and what follows it cost, at least.
+    /// Adds the expected cost of failures to `delay`, since each failed attempt is followed by
+    /// another one.
+    pub(crate) fn add_failure_cost(&self, delay: Duration) -> Duration {
+        /// Least time that a failed attempt and its retry cost.
         const FAILURE: Duration = Duration::from_millis(300);
-        delay + FAILURE.mul_f64(self.failing)
+        delay + FAILURE.mul_f64(self.failure_rate)
     }
 
-    pub(crate) fn failed(&mut self, now: Duration) {
-        let wait = Self::STRIKE * (1 << self.strikes.min(4));
-        self.strikes += 1;
-        self.suspect_until = now + wait.min(Self::LONGEST_STRIKE);
+    /// Passes the upstream over for a time that doubles with each consecutive failure.
+    pub(crate) fn start_backoff(&mut self, now: Duration) {
+        let wait = Self::MIN_BACKOFF * (1 << self.consecutive_failures.min(4));
+        self.consecutive_failures += 1;
+        self.backoff_until = now + wait.min(Self::MAX_BACKOFF);
     }
 
-    pub(crate) fn worked(&mut self) {
-        self.strikes = 0;
-        self.suspect_until = Duration::ZERO;
+    /// Ends the backoff after an answer.
+    pub(crate) fn reset_backoff(&mut self) {
+        self.consecutive_failures = 0;
+        self.backoff_until = Duration::ZERO;
     }
 
+    /// Updates the smoothed call duration with a call that took `took`, with the wait for a slot
+    /// taken out.
     pub(crate) fn measure_call(&mut self, took: Duration) {
         let slots = f64::from(self.listed.slots.max(1));
         let turns = 1.0 + f64::from(self.in_flight) / slots;
         let sample = took.div_f64(turns);
-        self.pace = self.pace.mul_f64(1.0 - Self::SMOOTHING) + sample.mul_f64(Self::SMOOTHING);
+        self.call_duration =
+            self.call_duration.mul_f64(1.0 - Self::SMOOTHING) + sample.mul_f64(Self::SMOOTHING);
     }
 
+    /// Updates the smoothed reading speed: `work` prompt tokens were read in `took`.
     pub(crate) fn measure_reading(&mut self, work: Tokens, took: Duration) {
-        if work < Self::MEASURED_WORK || took.is_zero() {
+        if work < Self::MIN_MEASURED_TOKENS || took.is_zero() {
             return;
         }
         let sample = work as f64 / took.as_secs_f64() / 1_000.0;
         let sample = sample.clamp(1.0, 1_000.0);
-        self.speed = self.speed * (1.0 - Self::SMOOTHING) + sample * Self::SMOOTHING;
+        self.reading_speed =
+            self.reading_speed * (1.0 - Self::SMOOTHING) + sample * Self::SMOOTHING;
     }
 
-    pub(crate) fn report(&self, now: Duration) -> Option<(Duration, ReportedSlots)> {
-        let (at, slots) = self.report?;
+    pub(crate) fn fresh_report(&self, now: Duration) -> Option<(Duration, ReportedSlots)> {
+        let (at, slots) = self.last_report?;
         let age = now.saturating_sub(at);
-        (age < Self::REPORT_LIFE).then_some((age, slots))
+        (age < Self::REPORT_LIFETIME).then_some((age, slots))
     }
 }
--- a/crates/ebonystand-core/src/gateway/listed_upstream.rs
+++ b/crates/ebonystand-core/src/gateway/listed_upstream.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// An upstream as a list of running servers has it. The list lags behind what runs.
+/// Entry of the list of running upstreams, which lags behind the servers' actual state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedUpstream {
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// How much longer it stays cold.
+    /// Remaining time for which the upstream is cold.
     pub cold_for: Duration,
-    /// Name of this start of the server.
+    /// Name of the upstream's instance, which is new with each start of the server.
     pub instance: UpstreamId,
-    /// It finishes what it has and gets no new work.
+    /// Whether the upstream is draining and gets no new requests.
     pub leaving: bool,
-    /// Service that it is a server of.
+    /// Service that the upstream serves.
     pub service: ServiceId,
-    /// Requests that it works on at once.
+    /// Requests that the upstream works on at once.
     pub slots: u32,
-    /// Availability zone it stands in.
+    /// Availability zone of the upstream.
     pub zone: ZoneId,
 }
--- a/crates/ebonystand-core/src/gateway/mechanism.rs
+++ b/crates/ebonystand-core/src/gateway/mechanism.rs
@@ -1,30 +1,31 @@
 use super::*;
 
-/// A mechanism of the choice of upstreams that an experiment can leave out, to measure what it is worth.
+/// Feature of upstream selection that can be disabled to measure its effect.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[display(rename_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Sending requests to other regions that one here could serve.
+    /// Send requests to another region although this one could serve them.
     Away,
-    /// Sending streams to other regions that would not end in time here.
+    /// Send streams to another region that would end too late in this one.
     EndInTime,
-    /// Weighing how often an upstream fails.
+    /// Prefer upstreams that fail less often.
     FailingWeight,
-    /// Waiting of forwarded requests, and of those that only full regions can serve.
+    /// Queue forwarded requests, and those that only regions without room can serve, instead of
+    /// refusing them.
     ForwardedWait,
-    /// Importing what another engine keeps.
+    /// Let an engine import cached prompt prefixes from another one.
     Imports,
-    /// One engine that all VMs agree on for a shared part.
+    /// Assign each shared prompt part to one engine on which all VMs agree without a message.
     Owner,
-    /// What VMs tell one another that they have under way.
+    /// Count the requests that other VMs of the region have in flight.
     PeerLoads,
-    /// Weighing what reading a prompt costs others.
+    /// Weigh the delay that reading a prompt causes to other requests of an engine.
     ReadingCosts,
-    /// Importing parts that are read faster than they are imported.
+    /// Import a prefix even if the engine would read it faster than import it.
     ShortImports,
-    /// What VMs tell one another that engines keep.
+    /// Use what other VMs report about the engines' caches.
     ToldCaches,
-    /// Limits to the work that waits in an engine.
+    /// Limit the work that waits in an engine.
     Windows,
 }
--- a/crates/ebonystand-core/src/gateway/mod.rs
+++ b/crates/ebonystand-core/src/gateway/mod.rs
@@ -1,74 +1,74 @@
-//! Routing of plain HTTP requests: which upstream gets a request that a route sends to a service,
-//! who may be told of which VM, and for how long a VM may trust its copy of the configuration.
+//! Request routing of the gateway: which upstream gets a request, which VMs callers connect to, and
+//! how long a VM may rely on its copy of the configuration without confirmation.
 
 use super::*;
 
 pub use {
     attempt_end::AttemptEnd,
     call_kind::CallKind,
-    choice::Choice,
     choice_query::ChoiceQuery,
-    cold_terms::ColdTerms,
+    cold_start_limits::ColdStartLimits,
     confirmation::Confirmation,
-    entry_choice::EntryChoice,
+    entry_list_selector::EntryListSelector,
     gateway_route::GatewayRoute,
     gateway_service::GatewayService,
     gateway_workspace::GatewayWorkspace,
     holder_plan::HolderPlan,
-    list_reader::ListReader,
+    ineligible_upstreams::IneligibleUpstreams,
+    list_reader_election::ListReaderElection,
     listed_upstream::ListedUpstream,
+    live_vms::LiveVms,
     mechanism::Mechanism,
     next_step::NextStep,
-    pressure::Pressure,
     prompt::{Prompt, PromptPart},
     quota::{Quota, QuotaUnit},
-    region_vms::RegionVms,
     reported_slots::ReportedSlots,
     route_table::RouteTable,
     routing::Routing,
     routing_fault::RoutingFault,
-    split_part::SplitPart,
-    turn_queue::TurnQueue,
-    unfit::Unfit,
+    service_latency::ServiceLatency,
+    target_choice::TargetChoice,
     upstream_book::UpstreamBook,
+    weighted_fair_queue::WeightedFairQueue,
+    weighted_service::WeightedService,
 };
 
 use {
-    cold_gate::ColdGate, known_upstream::KnownUpstream, prefix_memory::PrefixMemory,
-    stream_pace::StreamPace, window::Window,
+    cold_start_limiter::ColdStartLimiter, event_gap_meter::EventGapMeter,
+    known_upstream::KnownUpstream, sent_prefixes::SentPrefixes, work_window::WorkWindow,
 };
 
 mod attempt_end;
 mod call_kind;
-mod choice;
 mod choice_query;
-mod cold_gate;
-mod cold_terms;
+mod cold_start_limiter;
+mod cold_start_limits;
 mod confirmation;
-mod entry_choice;
+mod entry_list_selector;
+mod event_gap_meter;
 mod gateway_route;
 mod gateway_service;
 mod gateway_workspace;
 mod holder_plan;
+mod ineligible_upstreams;
 mod known_upstream;
-mod list_reader;
+mod list_reader_election;
 mod listed_upstream;
+mod live_vms;
 mod mechanism;
 mod next_step;
-mod prefix_memory;
-mod pressure;
 mod prompt;
 mod quota;
-mod region_vms;
 mod reported_slots;
 mod route_table;
 mod routing;
 mod routing_fault;
-mod split_part;
-mod stream_pace;
-mod turn_queue;
-mod unfit;
+mod sent_prefixes;
+mod service_latency;
+mod target_choice;
 mod upstream_book;
 mod upstream_choice;
 mod upstream_pressure;
-mod window;
+mod weighted_fair_queue;
+mod weighted_service;
+mod work_window;
--- a/crates/ebonystand-core/src/gateway/next_step.rs
+++ b/crates/ebonystand-core/src/gateway/next_step.rs
@@ -1,25 +1,26 @@
 use super::*;
 
-/// What follows the end of an attempt that gave the caller nothing.
+/// Step after an attempt that delivered nothing to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// The caller is told, and whether its request has run.
+    /// Answer the caller with an error that states whether the request has run.
     GiveUp {
-        /// What can be promised.
+        /// Run state that can be guaranteed to the caller.
         run: RunState,
     },
-    /// Another upstream is tried.
+    /// Send the request to another upstream.
     Retry,
 }
 
 impl NextStep {
-    /// Decides after `tried` attempts, `not_run` saying that none of them can have run.
+    /// Decides after the `tried`-th counted attempt. `not_run` states that none of the attempts can
+    /// have run, and `budget` takes a retry from the retry budget if one is left.
     ///
-    /// A request that may run once only is sent again just when all earlier upstreams said that
-    /// they did not run it; otherwise it could run twice. What such a request is told must stay
-    /// true for ever, so `NotRun` needs the same of all attempts.
+    /// A request that may run only once is retried only if every earlier upstream confirmed that it
+    /// did not run it; otherwise it could run twice. The answer to such a request must stay true,
+    /// so `NotRun` as well requires this of all attempts.
     #[must_use]
-    pub fn after(
+    pub fn decide(
         route: &GatewayRoute,
         end: AttemptEnd,
         tried: u32,
@@ -30,10 +31,10 @@
             true => RunState::NotRun,
             false => RunState::Unknown,
         };
-        let may_repeat = route.repeatable() || not_run;
-        // An upstream that could not be connected to was not sent anything and is no attempt.
-        // Nor is a server that only has the address of the one that was meant.
-        let has_tries = !end.is_attempt() || tried < route.attempts;
+        let may_repeat = route.is_repeatable() || not_run;
+        // An upstream that could not be connected to received nothing and does not count as an
+        // attempt, nor does another server that answered at its address.
+        let has_tries = !end.is_counted_attempt() || tried < route.attempts;
         if end == AttemptEnd::Cancelled || !may_repeat || !has_tries || !budget() {
             return Self::GiveUp { run };
         }
--- a/crates/ebonystand-core/src/gateway/prompt.rs
+++ b/crates/ebonystand-core/src/gateway/prompt.rs
@@ -1,40 +1,40 @@
 use super::*;
 
-/// What a request for a model engine says of its prompt.
+/// Size and structure of a prompt, as declared by a request for a model engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Prompt {
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub input: Tokens,
-    /// Model that is asked for.
+    /// Model that the request asks for.
     pub model: ModelId,
-    /// Most tokens of the answer.
+    /// Most tokens that the answer may have.
     pub output: Tokens,
-    /// Parts of the prompt in their order; the last one is the request's or session's own.
+    /// Parts of the prompt in order; the last one belongs to this request or session alone.
     pub parts: Vec<PromptPart>,
 }
 
-/// A part of a prompt that other requests may share.
+/// Part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PromptPart {
-    /// Equal in all requests that share the part.
+    /// Identifier of the part, equal in all requests that share it.
     pub id: u64,
-    /// Its length.
+    /// Length of the part in tokens.
     pub tokens: Tokens,
 }
 
 impl Prompt {
-    /// Hash of the last part that other requests share, on which all VMs place the prompt; none if
-    /// it shares nothing. Parts before it are shared by more requests, often by all of a kind: placed
-    /// by the first one, they would all meet at one engine. Those parts are short and soon kept
-    /// everywhere.
+    /// Returns the hash of the last shared part, by which all VMs assign the prompt to the same
+    /// engine; `None` if no part is shared. Earlier parts are shared by more requests, often by all
+    /// of a kind, and would assign all of these to one engine. Such parts are short and soon cached
+    /// by every engine.
     #[must_use]
-    pub fn shared(&self) -> Option<u64> {
+    pub fn placement_hash(&self) -> Option<u64> {
         let shared = self.parts.split_last()?.1;
         let last = shared.last()?;
         Some(xxh3_64(&last.id.to_le_bytes()))
     }
 
-    /// Tokens of the parts that other requests share.
+    /// Returns the length of the shared parts in tokens.
     #[must_use]
     pub fn shared_tokens(&self) -> Tokens {
         let shared = self
@@ -45,9 +45,9 @@
         tokens.min(self.input)
     }
 
-    /// Prompt and most output together.
+    /// Returns the tokens of the prompt plus the most tokens of its answer.
     #[must_use]
-    pub fn tokens(&self) -> Tokens {
+    pub fn max_total_tokens(&self) -> Tokens {
         self.input.saturating_add(self.output)
     }
 }
--- a/crates/ebonystand-core/src/gateway/reported_slots.rs
+++ b/crates/ebonystand-core/src/gateway/reported_slots.rs
@@ -1,10 +1,10 @@
-/// Load that an upstream tells with an answer.
+/// Load that an upstream reports along with an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReportedSlots {
-    /// Requests that it works on.
+    /// Requests that the upstream is working on.
     pub running: u32,
-    /// Requests that it works on at once.
+    /// Most requests that the upstream works on at once.
     pub slots: u32,
-    /// Requests that wait in it.
+    /// Requests that wait in the upstream's own queue.
     pub waiting: u32,
 }
--- a/crates/ebonystand-core/src/gateway/route_table.rs
+++ b/crates/ebonystand-core/src/gateway/route_table.rs
@@ -1,19 +1,22 @@
 use super::*;
 
-/// A [`Routing`] made ready for look-ups.
+/// Index of a [`Routing`] for look-ups by host and path, by service name and by key.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Routes of a host, the longest prefix first.
+    /// Indices of each host's routes, those with the longest prefix first.
     hosts: FxHashMap<Box<str>, Vec<usize>>,
+    /// Index of the workspace that each key belongs to.
     keys: FxHashMap<KeyHash, usize>,
     routing: Routing,
+    /// Index of each service by name.
     services: FxHashMap<ServiceId, usize>,
 }
 
 impl RouteTable {
-    /// The route of a request: of the host's routes that its path begins with, the longest.
+    /// Returns the route for a request: of the host's routes whose prefix begins the path, the one
+    /// with the longest prefix. A port in `host` is ignored.
     #[must_use]
-    pub fn find(&self, host: &str, path: &str) -> Option<&GatewayRoute> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&GatewayRoute> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(host)?.iter();
         routes
@@ -21,7 +24,7 @@
             .find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Regions that the routes of a host name as homes, one set for each route that names any.
+    /// Returns the homes of each route of the host that restricts its regions.
     #[must_use]
     pub fn homes_of_host(&self, host: &str) -> Vec<&BTreeSet<RegionId>> {
         let routes = self.hosts.get(host).into_iter().flatten();
@@ -29,20 +32,20 @@
         homes.filter(|homes| !homes.is_empty()).collect()
     }
 
-    /// What the table was made of.
+    /// Returns the configuration that the table indexes.
     #[must_use]
     pub fn routing(&self) -> &Routing {
         &self.routing
     }
 
-    /// A service.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&GatewayService> {
         let index = self.services.get(name)?;
         self.routing.services.get(*index)
     }
 
-    /// Workspace whose key has this hash.
+    /// Returns the workspace that has the key with this hash.
     #[must_use]
     pub fn workspace(&self, key: &KeyHash) -> Option<&GatewayWorkspace> {
         let index = self.keys.get(key)?;
--- a/crates/ebonystand-core/src/gateway/routing.rs
+++ b/crates/ebonystand-core/src/gateway/routing.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// All routes, services and workspaces of the gateway, replaced as a whole under a number that the
-/// operator chooses. The highest number is in force.
+/// Operator's configuration of all routes, services and workspaces. It is replaced as a whole under
+/// a revision number that the operator chooses; the highest number is in force.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Routing {
-    /// Number chosen by the operator; 0 if there has been none.
+    /// Revision chosen by the operator; 0 before the first one.
     pub revision: u64,
-    /// Routes.
+    /// Routes, in the operator's order.
     pub routes: Vec<GatewayRoute>,
-    /// Services.
+    /// Services that the routes send requests to.
     pub services: Vec<GatewayService>,
-    /// The text that the operator sent, given back when it is asked for. It holds the secrets of
-    /// keys where the operator's format has them, so it goes to operators only. Members of the log
-    /// have it; it is empty in copies of other VMs.
+    /// Original text from the operator, returned when operators ask for it. It may contain the
+    /// secrets of keys, so only operators get it. Members of the log store it; it is empty in the
+    /// copies of other VMs.
     pub source: Box<str>,
-    /// Workspaces.
+    /// Workspaces with their keys and quotas.
     pub workspaces: Vec<GatewayWorkspace>,
 }
 
 impl Routing {
-    /// Every fault; empty if it may be put in force.
+    /// Returns all faults of the configuration; empty if it may be put in force.
     #[must_use]
     pub fn faults(&self) -> Vec<RoutingFault> {
         let mut faults = Vec::new();
@@ -39,7 +39,7 @@
         faults
     }
 
-    /// Regions that any route or workspace names as a home.
+    /// Returns the regions that any route or workspace names as a home.
     pub fn regions(&self) -> impl Iterator<Item = &RegionId> {
         let routes = self.routes.iter().flat_map(|route| &route.homes);
         let workspaces = self
@@ -49,7 +49,8 @@
         routes.chain(workspaces)
     }
 
-    /// What a VM serves by: all but the operator's text, which is several times as long.
+    /// Returns a copy without the operator's text, which is several times as long as the rest and
+    /// not needed to serve.
     #[must_use]
     pub fn without_source(&self) -> Self {
         Self {
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Adds a fault for each key that two workspaces share.
     fn key_faults(&self, faults: &mut Vec<RoutingFault>) {
         let mut owners = BTreeMap::new();
         for workspace in &self.workspaces {
@@ -76,6 +78,7 @@
         }
     }
 
+    /// Adds the faults of one route.
     fn route_faults(
         route: &GatewayRoute,
         services: &BTreeSet<&ServiceId>,
@@ -87,7 +90,7 @@
                 route: name.clone(),
             });
         }
-        if route.weight() == 0 {
+        if route.total_weight() == 0 {
             faults.push(RoutingFault::Weight {
                 route: name.clone(),
             });
--- a/crates/ebonystand-core/src/gateway/routing_fault.rs
+++ b/crates/ebonystand-core/src/gateway/routing_fault.rs
@@ -1,43 +1,43 @@
 use super::*;
 
-/// Reason why a [`Routing`] cannot be put in force.
+/// Reason to refuse a [`Routing`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[serde(rename_all = "snake_case")]
 pub enum RoutingFault {
-    /// Two workspaces have the same key, which would then not tell for whom a request runs.
+    /// Two workspaces have the same key, so a request could not be attributed to one of them.
     #[snafu(display("workspaces `{first}` and `{second}` share a key"))]
     SharedKey {
-        /// One workspace.
+        /// Workspace that has the key first.
         first: WorkspaceId,
-        /// The other one.
+        /// Workspace that has the same key again.
         second: WorkspaceId,
     },
-    /// Two routes take the same requests.
+    /// Two routes have the same host and path prefix.
     #[snafu(display("routes `{first}` and `{second}` have the same host and prefix"))]
     SamePlace {
-        /// One route.
+        /// Route that comes first in the list.
         first: Box<str>,
-        /// The other one.
+        /// Route that repeats its host and prefix.
         second: Box<str>,
     },
-    /// A request of the route could not be answered in time.
+    /// The timeout of a route is 0, so none of its requests could be answered.
     #[snafu(display("route `{route}`: the timeout must be above 0"))]
     Timeout {
-        /// The route.
+        /// Name of the route without a timeout.
         route: Box<str>,
     },
-    /// A route sends requests to a service that does not exist.
+    /// A route names a service that is not defined.
     #[snafu(display("route `{route}`: no service `{service}`"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: Box<str>,
-        /// What it names.
+        /// Service that is not defined.
         service: ServiceId,
     },
-    /// No service takes the requests of a route.
+    /// The weights of a route add up to 0, so no service gets its requests.
     #[snafu(display("route `{route}`: the weights add up to 0"))]
     Weight {
-        /// The route.
+        /// Name of the route without any weight.
         route: Box<str>,
     },
 }
--- /dev/null
+++ b/crates/ebonystand-core/src/gateway/target_choice.rs
@@ -0,0 +1,50 @@
+use super::*;
+
+/// Result of choosing where to send a request.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub enum TargetChoice {
+    /// Send the request to a VM of another region, which chooses an upstream there.
+    OtherRegion {
+        /// Predicted time to the first byte in this region, plus the time by which the answer would
+        /// end too late; `None` if this region cannot serve the request.
+        local_cost: Option<Duration>,
+        /// Predicted time to the first byte from the other region.
+        predicted: Duration,
+        /// Region that gets the request.
+        region: RegionId,
+    },
+    /// No upstream has room now, though some here or in other regions could serve the request
+    /// later.
+    NoRoom {
+        /// Predicted time to the first byte if the request were sent anyway.
+        predicted: Duration,
+    },
+    /// Send the request to an upstream of the own region.
+    Upstream {
+        /// Address of the upstream.
+        address: SocketAddr,
+        /// Number of upstreams that were compared.
+        candidates: u32,
+        /// Engine from which the upstream is to import the missing part of the prompt; `None` if it
+        /// reads all of that itself.
+        import: Option<CacheSource>,
+        /// Instance of the upstream.
+        instance: UpstreamId,
+        /// Whether the upstream has answered recently; false if it is tried during its backoff
+        /// because no other one is left.
+        is_sound: bool,
+        /// Predicted time to the first byte of the answer.
+        predicted: Duration,
+        /// Age of the load report used for the prediction; `None` if there is no recent report.
+        report_age: Option<Duration>,
+        /// Prompt tokens that the upstream is expected to read, neither cached nor imported.
+        unread: Tokens,
+    },
+    /// No upstream can serve the request now.
+    Unavailable {
+        /// Counts of the service's upstreams by the reason why they are ineligible.
+        reason: IneligibleUpstreams,
+        /// Time after which a retry is useful.
+        retry_after: Duration,
+    },
+}
--- a/crates/ebonystand-core/src/gateway/upstream_book.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_book.rs
@@ -1,126 +1,144 @@
 use super::*;
 
-/// The upstreams that a VM knows of from the list, what it has seen of them, and the choice between
-/// them.
+/// Upstreams known to a VM from the list and from their answers, with the selection of one for each
+/// request.
 ///
-/// Each VM decides by itself on what it has sent and what it was told with answers. VMs agree
-/// without a message where a prompt's shared parts are kept, by rendezvous hashing.
+/// Each VM decides by itself, from what it has sent and what answers reported. VMs agree without a
+/// message on the engine that caches a shared part of prompts, by rendezvous hashing.
 #[derive(Clone, Debug)]
 pub struct UpstreamBook {
-    pub(super) here: RegionId,
+    /// Region of this VM.
+    pub(super) own_region: RegionId,
+    /// Prompt prefixes known to be cached by engines.
     pub(super) caches: CacheDirectory,
+    /// Exchange of load messages with the other VMs of the region.
     exchange: LoadExchange,
-    vms: RegionVms,
+    /// Live VMs of the region.
+    vms: LiveVms,
+    /// State of each upstream on the list.
     pub(super) upstreams: BTreeMap<UpstreamId, KnownUpstream>,
-    pub(super) by_key: FxHashMap<UpstreamKey, UpstreamId>,
-    /// What requests have to expect in other regions, with when it was told.
-    pub(super) away: FxHashMap<(RegionId, ServiceId), (Duration, Pressure)>,
-    /// Network time of a request that is sent away and of its first byte, there and back.
-    pub(super) away_trip: Duration,
-    /// How fast the engines of this region answer.
-    pub(super) paces: FxHashMap<ServiceId, StreamPace>,
-    /// Mechanisms that an experiment leaves out.
-    without: BTreeSet<Mechanism>,
+    /// Upstreams by the short name that messages use.
+    pub(super) instances_by_key: FxHashMap<UpstreamKey, UpstreamId>,
+    /// Predicted latencies in other regions, with the times at which they were reported.
+    pub(super) region_latencies: FxHashMap<(RegionId, ServiceId), (Duration, ServiceLatency)>,
+    /// Network round trip of a request to another region and of its first byte.
+    pub(super) region_round_trip: Duration,
+    /// Time between stream events of the engines of this region, by service.
+    pub(super) event_gaps: FxHashMap<ServiceId, EventGapMeter>,
+    /// Disabled features of the selection.
+    disabled_mechanisms: BTreeSet<Mechanism>,
+    /// Region of each availability zone.
     zones: BTreeMap<ZoneId, RegionId>,
 }
 
 impl UpstreamBook {
-    /// What another region told counts for so long.
-    pub(super) const AWAY_LIFE: Duration = Duration::from_secs(2);
-    /// Delay told to other regions beyond the predicted one while no upstream has room.
-    pub(super) const FULL: Duration = Duration::from_millis(1_000);
-    /// Delay between regions, one way, unless the settings say otherwise.
-    pub const REGION_DELAY: Duration = Duration::from_millis(60);
-    /// Part of its aim, in permille, within which an answer is to begin at its upstream. The rest is
-    /// for the way there and back and for waiting before. A prompt's own reading is part of it: at 350 the
-    /// windows narrowed for long prompts that nothing had kept waiting, and requests were refused beside
-    /// engines with room (mean worth of five days with trouble, two plays each, 0.658 at 350, 0.665 at 500,
-    /// 0.656 at 700).
-    const BEGINS_PERMILLE: u32 = 350;
-    /// An upstream that appears on the list, or whose zone comes back, counts as cold for so long
-    /// at least: the list lags, and may not say yet that it is.
-    const NEW_IS_COLD: Duration = Duration::from_millis(2_000);
-    /// Shortest time after which a refused caller is asked to come back.
-    const SHORTEST_RETRY: Duration = Duration::from_millis(250);
-    /// Longest such time.
-    const LONGEST_RETRY: Duration = Duration::from_secs(2);
-
-    /// Book of the VM `own` that stands at `place`.
+    /// Time for which a latency reported by another region is used.
+    pub(super) const REGION_LATENCY_LIFETIME: Duration = Duration::from_secs(2);
+    /// Delay added to the predicted time to the first byte while no upstream has room. A region that
+    /// reports at least this delay has no room.
+    pub(super) const NO_ROOM_DELAY: Duration = Duration::from_millis(1_000);
+    /// Default one-way network delay between regions.
+    pub const DEFAULT_REGION_DELAY: Duration = Duration::from_millis(60);
+    /// Share of the first-byte target, in permille, within which an answer should begin at its
+    /// upstream. The rest is for the network and for waiting before the request is sent. The
+    /// reading of the prompt itself counts as well: at 350, the windows shrink for long prompts
+    /// that did not wait for anything, and requests are refused beside engines with room (mean
+    /// score of five days with faults, two runs each: 0.658 at 350, 0.665 at 500, 0.656 at 700).
+    const START_TARGET_PERMILLE: u32 = 350;
+    /// Least time for which an upstream counts as cold after it appears on the list or its zone
+    /// returns: the list lags and may not show yet that the upstream is cold.
+    const MIN_COLD_TIME: Duration = Duration::from_millis(2_000);
+    /// Shortest time after which a refused caller is told to retry.
+    const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+    /// Longest time after which a refused caller is told to retry.
+    const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+    /// Creates the book of the VM `own` at `place`; `zones` maps each availability zone to its
+    /// region.
     #[must_use]
     pub fn new(own: VmId, place: Place, zones: BTreeMap<ZoneId, RegionId>) -> Self {
         Self {
-            here: place.region,
+            own_region: place.region,
             caches: CacheDirectory::default(),
             exchange: LoadExchange::new(own.clone(), place.zone),
-            vms: RegionVms::new(own),
+            vms: LiveVms::new(own),
             upstreams: BTreeMap::new(),
-            by_key: FxHashMap::default(),
-            away: FxHashMap::default(),
-            away_trip: 2 * Self::REGION_DELAY,
-            paces: FxHashMap::default(),
-            without: BTreeSet::new(),
+            instances_by_key: FxHashMap::default(),
+            region_latencies: FxHashMap::default(),
+            region_round_trip: 2 * Self::DEFAULT_REGION_DELAY,
+            event_gaps: FxHashMap::default(),
+            disabled_mechanisms: BTreeSet::new(),
             zones,
         }
     }
 
-    /// Goes by another delay between regions, one way.
+    /// Replaces the default one-way network delay between regions.
     #[must_use]
     pub fn with_region_delay(mut self, delay: Duration) -> Self {
-        self.away_trip = 2 * delay;
+        self.region_round_trip = 2 * delay;
         self
     }
 
-    /// Leaves mechanisms out, for an experiment.
+    /// Disables features of the selection, to measure their effect.
     #[must_use]
-    pub fn without(mut self, mechanisms: BTreeSet<Mechanism>) -> Self {
-        self.without = mechanisms;
+    pub fn with_disabled_mechanisms(mut self, mechanisms: BTreeSet<Mechanism>) -> Self {
+        self.disabled_mechanisms = mechanisms;
         self
     }
 
-    /// Whether a mechanism is used.
+    /// Returns whether a feature is enabled.
     #[must_use]
-    pub fn uses(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled_mechanisms.contains(&mechanism)
     }
 
-    /// Whether an upstream may be sent to.
+    /// Returns whether the request may be sent to the upstream `instance`, even if that one has
+    /// recently failed to answer.
     #[must_use]
-    pub fn admits(&self, now: Duration, query: &ChoiceQuery, instance: &str) -> bool {
+    pub fn can_send_to(&self, now: Duration, query: &ChoiceQuery, instance: &str) -> bool {
         let known = self.upstreams.get(instance);
         known.is_some_and(|known| self.is_open(now, query, known))
     }
 
-    /// Notes how an attempt ended, `waited` after it was sent.
-    pub fn ended(&mut self, now: Duration, instance: &str, end: AttemptEnd, waited: Duration) {
+    /// Records how an attempt ended, `waited` after it was sent.
+    pub fn record_attempt_end(
+        &mut self,
+        now: Duration,
+        instance: &str,
+        end: AttemptEnd,
+        waited: Duration,
+    ) {
         let Some(known) = self.upstreams.get_mut(instance) else {
             return;
         };
         known.in_flight = known.in_flight.saturating_sub(1);
         match end {
             AttemptEnd::Answered => {
-                known.worked();
-                known.observe(false);
+                known.reset_backoff();
+                known.update_failure_rate(false);
                 known.measure_call(waited);
             }
             AttemptEnd::Cancelled | AttemptEnd::Shed => {}
-            AttemptEnd::Failed | AttemptEnd::Lost => known.observe(true),
-            AttemptEnd::Stranger => known.is_gone = true,
-            AttemptEnd::TimedOut => known.failed(now),
+            AttemptEnd::Failed | AttemptEnd::Lost => known.update_failure_rate(true),
+            AttemptEnd::AddressReused => known.is_address_reused = true,
+            AttemptEnd::TimedOut => known.start_backoff(now),
             AttemptEnd::Unreachable => {
-                known.failed(now);
-                known.prefixes.clear();
+                known.start_backoff(now);
+                known.sent_prefixes.clear();
                 self.caches.forget(&FxHashSet::from_iter([known.key]));
             }
         }
     }
 
-    /// Notes that the first byte of an answer came `waited` after it was sent, or never will.
-    pub fn first_byte(
+    /// Records that the first byte of an answer arrived `waited` after the request was sent, or
+    /// with `None` that it never will. `unread` are the prompt tokens that were reserved for the
+    /// request.
+    pub fn record_first_byte(
         &mut self,
         now: Duration,
         instance: &str,
         unread: Tokens,
-        aim: Duration,
+        first_byte_target: Duration,
         waited: Option<Duration>,
     ) {
         let Some(known) = self.upstreams.get_mut(instance) else {
@@ -128,16 +146,19 @@
         };
         if let Some(waited) = waited {
             let others = self.exchange.at(known.key).unread;
-            known.measure_reading(known.window.used().max(unread) + others, waited);
-            let target = aim * Self::BEGINS_PERMILLE / 1_000;
-            known.window.observe(now, waited, target, unread, others);
+            known.measure_reading(known.work_window.used().max(unread) + others, waited);
+            let target = first_byte_target * Self::START_TARGET_PERMILLE / 1_000;
+            known
+                .work_window
+                .adjust_limit(now, waited, target, unread, others);
         }
-        known.window.give(unread);
+        known.work_window.release(unread);
     }
 
-    /// Notes that an engine has begun an answer: it has read the whole prompt and keeps it, for requests
-    /// that the regions `homes` may serve.
-    pub fn keeps(
+    /// Records that an engine has begun an answer: it has read the whole prompt and caches these
+    /// prefixes of it, for requests that only the regions `homes` may serve, or any region if
+    /// `None`.
+    pub fn record_cached_prefixes(
         &mut self,
         now: Duration,
         instance: &UpstreamId,
@@ -154,99 +175,100 @@
         }
     }
 
-    /// What engines keep, to tell VMs of other regions; one of each is enough.
-    pub fn caches_for_others(&mut self) -> Vec<CachedPrefix> {
+    /// Takes the newly cached prefixes to be sent to other regions; one VM of each region is
+    /// enough.
+    pub fn take_caches_for_regions(&mut self) -> Vec<CachedPrefix> {
         self.caches.take_for_others()
     }
 
-    /// Takes what a VM of another region tells of what engines keep.
-    pub fn caches_told(&mut self, now: Duration, cached: Vec<CachedPrefix>) {
-        if self.uses(Mechanism::ToldCaches) {
+    /// Records the cached prefixes that a VM of another region reports.
+    pub fn receive_region_caches(&mut self, now: Duration, cached: Vec<CachedPrefix>) {
+        if self.is_enabled(Mechanism::ToldCaches) {
             self.caches.told(now, cached, CacheNews::Away);
         }
     }
 
-    /// Takes what another VM of the region tells.
-    pub fn load_told(&mut self, now: Duration, from: &VmId, mut message: LoadMessage) {
+    /// Processes a load message of another VM of the region.
+    pub fn receive_load_message(&mut self, now: Duration, from: &VmId, mut message: LoadMessage) {
         if let LoadMessage::Region { pressures, .. } = &message {
-            for told in pressures {
-                let at = now.saturating_sub(Duration::from_millis(told.age_ms));
-                let pressure = Pressure {
-                    event_gap: Duration::from_millis(told.event_gap_ms),
-                    first_byte: Duration::from_millis(told.first_byte_ms),
+            for reported in pressures {
+                let at = now.saturating_sub(Duration::from_millis(reported.age_ms));
+                let latency = ServiceLatency {
+                    event_gap: Duration::from_millis(reported.event_gap_ms),
+                    first_byte: Duration::from_millis(reported.first_byte_ms),
                 };
-                self.told_at(at, &told.region, told.service.clone(), pressure);
+                self.record_region_latency(at, &reported.region, reported.service.clone(), latency);
             }
         }
         let (cached, news) = message.take_cached();
-        let fresh = match self.uses(Mechanism::ToldCaches) {
+        let fresh = match self.is_enabled(Mechanism::ToldCaches) {
             true => self.caches.told(now, cached, news),
             false => Vec::new(),
         };
-        if self.uses(Mechanism::PeerLoads) {
+        if self.is_enabled(Mechanism::PeerLoads) {
             self.exchange.receive(now, from, message);
             self.exchange.pass_on(&fresh, news);
         }
     }
 
-    /// What the other VMs of the region are to be told now.
-    pub fn load_messages(&mut self, now: Duration) -> Vec<(VmId, LoadMessage)> {
+    /// Returns the load messages to be sent to other VMs of the region now.
+    pub fn build_load_messages(&mut self, now: Duration) -> Vec<(VmId, LoadMessage)> {
         self.caches.sweep(now);
         let cached = self.caches.take_for_region();
-        let pressures = self.told_pressures(now);
+        let latencies = self.recent_region_latencies(now);
         let messages = self
             .exchange
-            .tick(now, self.under_way(), cached, &pressures);
+            .tick(now, self.under_way(), cached, &latencies);
         if !self.exchange.is_relay() {
-            // The relay tells the other regions.
+            // Only the relay sends cached prefixes to the other regions.
             self.caches.take_for_others();
         }
         messages
     }
 
-    /// Time until [`Self::load_messages`] is due again.
+    /// Returns the time between two calls of [`Self::build_load_messages`].
     #[must_use]
-    pub fn tells_load_every(&self) -> Duration {
+    pub fn load_message_interval(&self) -> Duration {
         self.exchange.every()
     }
 
-    /// The relays of the region.
+    /// Returns the VMs that relay load messages in the region.
     pub fn relays(&self) -> impl Iterator<Item = VmId> {
         self.exchange.relays().cloned()
     }
 
-    /// VMs that report to this one.
+    /// Returns the VMs that report their load to this one.
     #[must_use]
     pub fn reporters(&self) -> BTreeSet<VmId> {
         self.exchange.reporters().cloned().collect()
     }
 
-    /// Whether this VM tells other regions what it knows.
+    /// Returns whether this VM relays load messages and tells other regions what its region knows.
     #[must_use]
     pub fn is_relay(&self) -> bool {
         self.exchange.is_relay()
     }
 
-    /// Whether a request that waits may find room now: at an upstream of the own region, or in another
-    /// one that has told of it.
+    /// Returns whether a queued request may now find room for `work` prompt tokens, at an upstream
+    /// of the own region or in another region that has reported room.
     #[must_use]
     pub fn has_room(&self, now: Duration, service: &str, is_engine: bool, work: u64) -> bool {
         let mut upstreams = self.upstreams.values();
         let here = upstreams.any(|known| {
             *known.listed.service == *service
-                && self.is_here(known)
+                && self.is_local(known)
                 && !known.listed.leaving
-                && self.fits(now, known, is_engine, work)
+                && self.can_accept(now, known, is_engine, work)
         });
-        let mut told = self.away.iter();
-        here || told.any(|((_, of), (at, pressure))| {
-            let is_fresh = now.saturating_sub(*at) < Self::AWAY_LIFE;
-            **of == *service && is_fresh && pressure.first_byte < Self::FULL
+        let mut regions = self.region_latencies.iter();
+        here || regions.any(|((_, of), (at, latency))| {
+            let is_fresh = now.saturating_sub(*at) < Self::REGION_LATENCY_LIFETIME;
+            **of == *service && is_fresh && latency.first_byte < Self::NO_ROOM_DELAY
         })
     }
 
-    /// Takes over the list. An upstream that is not on it any more is forgotten.
-    pub fn list(&mut self, now: Duration, listed: Vec<ListedUpstream>) {
+    /// Replaces the list of upstreams and drops the state of those no longer on it.
+    pub fn update_list(&mut self, now: Duration, listed: Vec<ListedUpstream>) {
         let mut next = BTreeMap::new();
         let mut emptied = FxHashSet::default();
         let is_first = self.upstreams.is_empty();
@@ -258,9 +280,9 @@
                     if now >= known.cold_until && !upstream.cold_for.is_zero() {
                         emptied.insert(known.key);
                     }
-                    Self::relisted(now, known, upstream, region)
+                    Self::update_upstream(now, known, upstream, region)
                 }
-                _ => Self::appeared(now, upstream, region, is_first),
+                _ => Self::new_upstream(now, upstream, region, is_first),
             };
             next.insert(instance, known);
         }
@@ -268,65 +290,75 @@
         self.caches.forget(&emptied);
         self.upstreams = next;
         let known = self.upstreams.iter();
-        self.by_key = known
+        self.instances_by_key = known
             .map(|(instance, known)| (known.key, instance.clone()))
             .collect();
     }
 
-    /// Upstreams that are known, by name.
-    pub fn listed(&self) -> impl Iterator<Item = &ListedUpstream> {
+    /// Returns the list entries of all known upstreams, in order of their names.
+    pub fn listed_upstreams(&self) -> impl Iterator<Item = &ListedUpstream> {
         self.upstreams.values().map(|known| &known.listed)
     }
 
-    /// Notes the load that an upstream told.
-    pub fn report(&mut self, now: Duration, instance: &str, slots: ReportedSlots) {
+    /// Records the load that an upstream reported with an answer.
+    pub fn record_reported_slots(&mut self, now: Duration, instance: &str, slots: ReportedSlots) {
         if let Some(known) = self.upstreams.get_mut(instance) {
-            known.report = Some((now, slots));
-            known.sent_since = 0;
+            known.last_report = Some((now, slots));
+            known.sent_since_report = 0;
         }
     }
 
-    /// Notes that a request is sent.
-    pub fn sent(&mut self, now: Duration, query: &ChoiceQuery, instance: &str, unread: Tokens) {
+    /// Records that a request with `unread` prompt tokens is sent to `instance`.
+    pub fn record_sent(
+        &mut self,
+        now: Duration,
+        query: &ChoiceQuery,
+        instance: &str,
+        unread: Tokens,
+    ) {
         let Some(known) = self.upstreams.get_mut(instance) else {
             return;
         };
         known.in_flight += 1;
-        known.sent_since += 1;
-        known.window.take(unread);
-        let senders = self.vms.cold_senders(instance).unwrap_or(1);
+        known.sent_since_report += 1;
+        known.work_window.reserve(unread);
+        let senders = self.vms.cold_sender_count(instance).unwrap_or(1);
         if now < known.cold_until && query.cold.per_s > 0.0 {
-            known.gate.pass(now, query.cold.per_s, senders);
+            known
+                .cold_limiter
+                .record_sent(now, query.cold.per_s, senders);
         }
         if let Some(prompt) = query.prompt {
-            known.prefixes.note(prompt);
+            known.sent_prefixes.record_prompt(prompt);
         }
     }
 
-    /// Takes over which VMs of the region live.
+    /// Replaces the live VMs of the region.
     pub fn set_vms(&mut self, vms: &[RegionVm]) {
-        self.vms.set(vms.iter().map(|vm| vm.vm.clone()));
+        self.vms.update_live(vms.iter().map(|vm| vm.vm.clone()));
         self.exchange.set_vms(vms);
     }
 
-    /// What this VM has under way.
+    /// Returns the requests that this VM has in flight, by upstream.
     fn under_way(&self) -> UpstreamLoads {
         let all = self.upstreams.values();
         let all = all.map(|known| (known.key, known.under_way()));
         all.filter(|(_, under_way)| !under_way.is_none()).collect()
     }
 
-    /// Treats the upstreams of a zone as cold: it has just come back from an evacuation, in which
-    /// they may have become so.
-    pub fn zone_is_back(&mut self, now: Duration, zone: &str) {
+    /// Treats the upstreams of a zone as cold after its evacuation ends, since they may have cooled
+    /// down meanwhile.
+    pub fn record_zone_return(&mut self, now: Duration, zone: &str) {
         for known in self.upstreams.values_mut() {
             if &*known.listed.zone == zone {
-                known.cold_until = known.cold_until.max(now + Self::NEW_IS_COLD);
+                known.cold_until = known.cold_until.max(now + Self::MIN_COLD_TIME);
             }
         }
     }
 
-    fn appeared(
+    /// Creates the state of an upstream that is new on the list; it counts as cold at first, unless
+    /// it is on the first list of this VM.
+    fn new_upstream(
         now: Duration,
         upstream: ListedUpstream,
         region: Option<RegionId>,
@@ -334,22 +366,23 @@
     ) -> KnownUpstream {
         let lag = match is_first {
             true => Duration::ZERO,
-            false => Self::NEW_IS_COLD,
+            false => Self::MIN_COLD_TIME,
         };
         let cold_until = now + upstream.cold_for.max(lag);
         KnownUpstream::new(upstream, region, cold_until)
     }
 
+    /// Returns whether an upstream may get the request and is not backed off.
     pub(super) fn is_candidate(
         &self,
         now: Duration,
         query: &ChoiceQuery,
         known: &KnownUpstream,
     ) -> bool {
-        now >= known.suspect_until && self.is_open(now, query, known)
+        now >= known.backoff_until && self.is_open(now, query, known)
     }
 
-    /// Whether an upstream may be sent to, leaving aside whether it answers.
+    /// Returns whether an upstream may get the request, regardless of its backoff.
     pub(super) fn is_open(
         &self,
         now: Duration,
@@ -357,78 +390,85 @@
         known: &KnownUpstream,
     ) -> bool {
         let is_warm = now >= known.cold_until || query.cold.per_s <= 0.0;
-        let is_open = is_warm || self.opens(known).is_some_and(|at| now >= at);
-        self.is_here(known)
-            && query.allows(&self.here)
+        let is_open = is_warm || self.cold_opens_at(known).is_some_and(|at| now >= at);
+        self.is_local(known)
+            && query.is_region_allowed(&self.own_region)
             && self.is_usable(query, known)
             && is_open
             && !query.excluded.contains(&known.listed.instance)
     }
 
+    /// Returns whether an upstream serves the request's service and is neither gone, leaving nor
+    /// evacuated; its region, backoff and load are ignored.
     pub(super) fn is_usable(&self, query: &ChoiceQuery, known: &KnownUpstream) -> bool {
         *known.listed.service == *query.service
-            && !known.is_gone
+            && !known.is_address_reused
             && !known.listed.leaving
             && !query.evacuated.contains(&known.listed.zone)
     }
 
-    /// When the first upstream may be sent to again.
+    /// Returns the time after which a refused caller should retry: when the first upstream may
+    /// accept its request.
     ///
-    /// Where none here may serve it, its regions cannot be reached, which ends when a cut does and not when an
-    /// upstream here is ready: told 250 ms, callers came back to be refused a second time.
-    pub(super) fn opens_after(&self, now: Duration, query: &ChoiceQuery) -> Duration {
-        if !query.allows(&self.here) {
-            return Self::LONGEST_RETRY;
+    /// If this region may not serve the request, those that may are unreachable, which ends with a
+    /// network partition and not when a local upstream is ready: told 250 ms, callers would retry
+    /// only to be refused a second time.
+    pub(super) fn retry_after(&self, now: Duration, query: &ChoiceQuery) -> Duration {
+        if !query.is_region_allowed(&self.own_region) {
+            return Self::MAX_RETRY_AFTER;
         }
         let opens = self
             .upstreams
             .values()
-            .filter(|known| self.is_here(known) && self.is_usable(query, known));
+            .filter(|known| self.is_local(known) && self.is_usable(query, known));
         let opens = opens.map(|known| {
             let gate = if now < known.cold_until {
-                let opens = self.opens(known).unwrap_or(known.cold_until);
+                let opens = self.cold_opens_at(known).unwrap_or(known.cold_until);
                 opens.min(known.cold_until)
             } else {
                 Duration::ZERO
             };
-            gate.max(known.suspect_until).saturating_sub(now)
+            gate.max(known.backoff_until).saturating_sub(now)
         });
-        let opens = opens.min().unwrap_or(Self::LONGEST_RETRY);
-        opens.clamp(Self::SHORTEST_RETRY, Self::LONGEST_RETRY)
+        let opens = opens.min().unwrap_or(Self::MAX_RETRY_AFTER);
+        opens.clamp(Self::MIN_RETRY_AFTER, Self::MAX_RETRY_AFTER)
     }
 
-    /// When this VM may send to an upstream that is cold; `None` while it is.
-    fn opens(&self, known: &KnownUpstream) -> Option<Duration> {
-        let senders = self.vms.cold_senders(&known.listed.instance);
-        senders.map(|_| known.gate.opens())
+    /// Returns the earliest time at which this VM may send to a cold upstream; `None` if it may not
+    /// while the upstream is cold.
+    fn cold_opens_at(&self, known: &KnownUpstream) -> Option<Duration> {
+        let senders = self.vms.cold_sender_count(&known.listed.instance);
+        senders.map(|_| known.cold_limiter.next_send_at())
     }
 
-    /// Whether an upstream has room for a request.
-    pub(super) fn fits(
+    /// Returns whether an upstream has room for a request with `work` prompt tokens.
+    pub(super) fn can_accept(
         &self,
         now: Duration,
         known: &KnownUpstream,
         is_engine: bool,
         work: u64,
     ) -> bool {
-        let others = self.others(known);
-        match self.uses(Mechanism::Windows) {
-            true => known.has_room(now, is_engine, work, others),
-            false => known.has_slot(now, is_engine, others),
+        let others = self.peer_load(known);
+        match self.is_enabled(Mechanism::Windows) {
+            true => known.can_accept(now, is_engine, work, others),
+            false => known.has_free_slot(now, is_engine, others),
         }
     }
 
-    /// What the other VMs of the region have under way at an upstream.
-    pub(super) fn others(&self, known: &KnownUpstream) -> UnderWay {
+    /// Returns the requests that the other VMs of the region have in flight at an upstream.
+    pub(super) fn peer_load(&self, known: &KnownUpstream) -> UnderWay {
         self.exchange.at(known.key)
     }
 
-    /// Whether an upstream stands in the own region.
-    pub(super) fn is_here(&self, known: &KnownUpstream) -> bool {
-        known.region.as_ref() == Some(&self.here)
+    /// Returns whether an upstream is in the own region.
+    pub(super) fn is_local(&self, known: &KnownUpstream) -> bool {
+        known.region.as_ref() == Some(&self.own_region)
     }
 
-    fn relisted(
+    /// Updates the state of an upstream from its new list entry; one that has become cold again has
+    /// lost its caches.
+    fn update_upstream(
         now: Duration,
         mut known: KnownUpstream,
         upstream: ListedUpstream,
@@ -436,7 +476,7 @@
     ) -> KnownUpstream {
         if !upstream.cold_for.is_zero() {
             if now >= known.cold_until {
-                known.prefixes.clear();
+                known.sent_prefixes.clear();
             }
             known.cold_until = known.cold_until.max(now + upstream.cold_for);
         }
@@ -445,28 +485,32 @@
         known
     }
 
-    /// Why no upstream can serve a request.
-    pub(super) fn unfit(&self, now: Duration, query: &ChoiceQuery) -> Unfit {
-        let mut unfit = Unfit {
-            is_home: query.allows(&self.here),
-            ..Unfit::default()
+    /// Counts the service's upstreams by the reason why they cannot get the request.
+    pub(super) fn count_ineligible(
+        &self,
+        now: Duration,
+        query: &ChoiceQuery,
+    ) -> IneligibleUpstreams {
+        let mut counts = IneligibleUpstreams {
+            is_home: query.is_region_allowed(&self.own_region),
+            ..IneligibleUpstreams::default()
         };
         let of_service = self.upstreams.values();
         let of_service = of_service.filter(|known| *known.listed.service == *query.service);
         for known in of_service {
-            unfit.listed += 1;
-            let is_closed = self.opens(known).is_none_or(|at| now < at);
+            counts.listed += 1;
+            let is_closed = self.cold_opens_at(known).is_none_or(|at| now < at);
             let is_cold = now < known.cold_until && is_closed;
             let count = match () {
-                () if !self.is_here(known) => &mut unfit.elsewhere,
-                () if known.listed.leaving => &mut unfit.leaving,
-                () if query.evacuated.contains(&known.listed.zone) => &mut unfit.evacuated,
-                () if query.excluded.contains(&known.listed.instance) => &mut unfit.excluded,
-                () if is_cold => &mut unfit.cold,
+                () if !self.is_local(known) => &mut counts.elsewhere,
+                () if known.listed.leaving => &mut counts.leaving,
+                () if query.evacuated.contains(&known.listed.zone) => &mut counts.evacuated,
+                () if query.excluded.contains(&known.listed.instance) => &mut counts.excluded,
+                () if is_cold => &mut counts.cold,
                 () => continue,
             };
             *count += 1;
         }
-        unfit
+        counts
     }
 }
--- a/crates/ebonystand-core/src/gateway/upstream_choice.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_choice.rs
@@ -1,167 +1,186 @@
-//! The choice of an upstream, by what a VM knows of all of them.
+//! Selection of an upstream or another region for a request, from all that a VM knows.
 
 use super::*;
 
-/// An upstream that a request could go to, with what it would cost there.
-struct Weighed<'a> {
-    /// Delay of the request with what it costs others.
+/// Upstream considered for a request, with the request's cost there.
+struct ScoredUpstream<'a> {
+    /// Delay of the request plus what it costs other requests.
     cost: Duration,
-    /// Predicted time to the first byte.
+    /// Predicted time to the first byte of the answer.
     delay: Duration,
+    /// Engine to import from, with the number of tokens to import.
     import: Option<(&'a KnownUpstream, Tokens)>,
+    /// Whether the upstream has no room for the request.
     is_full: bool,
     known: &'a KnownUpstream,
-    /// Tokens that it has to read.
+    /// Prompt tokens that the upstream has to read.
     unread: Tokens,
 }
 
-/// Another region that a request could go to.
+/// Other region considered for a request.
 struct RegionCandidate {
-    /// Delay of the request, with how much too late its answer would end.
+    /// Delay of the request plus the time by which its answer would end too late.
     cost: Duration,
-    /// Predicted time to the first byte.
+    /// Predicted time to the first byte, including the network.
     delay: Duration,
     region: RegionId,
 }
 
-/// A prompt, and which VMs agree to have its shared parts read where.
-struct Placed<'a> {
+/// Prompt with the engines that cache its shared prefixes.
+struct PromptPlacement<'a> {
+    /// Engine on which all VMs agree to read and cache the shared parts.
     owner: Option<UpstreamKey>,
-    prefixes: Vec<Kept<'a>>,
+    /// Shared prefixes of the prompt, the longest first.
+    shared_prefixes: Vec<PrefixSources<'a>>,
     prompt: &'a Prompt,
 }
 
-/// A shared beginning of a prompt, and the engines that keep it.
-struct Kept<'a> {
-    holders: Vec<Holder<'a>>,
+/// Shared prefix of a prompt, with the engines that cache it.
+struct PrefixSources<'a> {
+    holders: Vec<ImportSource<'a>>,
     prefix: SharedPrefix,
 }
 
-/// An engine that keeps a beginning.
-struct Holder<'a> {
+/// Engine that caches a prefix.
+struct ImportSource<'a> {
+    /// Regions that may cache the prefix; `None` if all may.
     homes: Option<&'a BTreeSet<RegionId>>,
     known: &'a KnownUpstream,
-    may_export: bool,
+    /// Whether other engines may import from this one.
+    can_export: bool,
+    /// When the prefix was last used on the engine.
     used: Duration,
 }
 
 impl UpstreamBook {
-    /// Delay to assume of another region that has told nothing.
-    const AWAY_UNKNOWN: Duration = Duration::from_millis(300);
-    /// Part of its aim, in permille, up to which a request stays in its region. Sending away costs
-    /// bytes between regions, which are scarce, and a cold prefix.
-    const STAYS_PERMILLE: u32 = 300;
-    /// Part of the time that is left for it, in permille, within which an answer is to end. Streams that begin
-    /// now slow down with those that follow, and some answers come from slower engines than others.
-    const ENDS_PERMILLE: u32 = 500;
-    /// What reading a token costs others, in times the delay of the request itself: those that come
-    /// behind it and the streams that run wait as long. Without it, prompts leave the upstream that
-    /// keeps what they share for gains smaller than what they cost. An import costs as much in times its own, far
-    /// shorter, delay. At 5, from before engines imported, prompts stayed with busy engines: mean worth of five days with
-    /// trouble 0.674 at 5, 0.679 at 2 (four plays each).
-    const READING_COSTS: u32 = 2;
+    /// Time to the first byte assumed of another region that has reported none recently.
+    const UNKNOWN_REGION_LATENCY: Duration = Duration::from_millis(300);
+    /// Share of the first-byte target, in permille, up to which a request stays in its region.
+    /// Sending it to another region takes up scarce bandwidth between regions and finds no cached
+    /// prefix.
+    const STAY_TARGET_PERMILLE: u32 = 300;
+    /// Share of the remaining time, in permille, within which an answer should end. Streams that
+    /// begin now slow down with those that follow, and some answers come from slower engines than
+    /// others.
+    const END_TARGET_PERMILLE: u32 = 500;
+    /// Cost that reading a token causes to other requests, as a multiple of the request's own
+    /// delay: the requests queued behind it and the running streams wait as long. Without this
+    /// cost, prompts leave the upstream that caches their shared parts for gains smaller than the
+    /// cost. An import costs the same multiple of its own, far shorter delay. With imports, 5 keeps
+    /// prompts at busy engines (mean score of five days with faults, four runs each: 0.674 at 5,
+    /// 0.679 at 2).
+    const READING_COST_FACTOR: u32 = 2;
 
-    /// Time that an import may take though reading would be faster. Short parts are read in less, but by the
-    /// engine, which is what is scarce: with them imported, the mean worth of five days with trouble rose
-    /// from 0.663 (three plays) to 0.674 (four).
-    const IMPORTED_WITHIN: Duration = Duration::from_millis(10);
+    /// Longest time of an import that is preferred even if reading is faster. Short parts are read
+    /// in less time, but by the engine, which is the scarce resource: importing them raises the
+    /// mean score of five days with faults from 0.663 (three runs) to 0.674 (four runs).
+    const ALWAYS_IMPORTED_WITHIN: Duration = Duration::from_millis(10);
 
-    /// Chooses where a request goes.
+    /// Chooses where to send a request: to an upstream of the own region, to another region, or
+    /// nowhere for now.
     #[must_use]
-    pub fn choose(&self, now: Duration, query: &ChoiceQuery) -> Choice {
-        let here = self.choose_here(now, query);
+    pub fn choose_target(&self, now: Duration, query: &ChoiceQuery) -> TargetChoice {
+        let local = self.choose_local(now, query);
         let gap = self.event_gap(now, query.service);
-        let late = |delay| self.lateness(query, delay, gap);
-        let (cost, stays) = match &here {
-            Choice::Here {
+        let late = |delay| self.predict_lateness(query, delay, gap);
+        let (cost, stays) = match &local {
+            TargetChoice::Upstream {
                 is_sound,
                 predicted,
                 ..
             } => {
-                let most = query.aim * Self::STAYS_PERMILLE / 1_000;
+                let most = query.first_byte_target * Self::STAY_TARGET_PERMILLE / 1_000;
                 let late = late(*predicted);
                 let stays = *is_sound && *predicted <= most && late.is_zero();
                 (Some(*predicted + late), stays)
             }
-            Choice::Full { predicted } => {
-                let predicted = *predicted + Self::FULL;
+            TargetChoice::NoRoom { predicted } => {
+                let predicted = *predicted + Self::NO_ROOM_DELAY;
                 (Some(predicted + late(predicted)), false)
             }
             _ => (None, false),
         };
         if stays {
-            return here;
+            return local;
         }
-        let is_sound = matches!(here, Choice::Here { is_sound: true, .. });
-        let cost = cost.filter(|_| is_sound || matches!(here, Choice::Full { .. }));
-        match self.choose_away(now, query) {
-            Some(there)
-                if cost.is_none_or(|here| self.uses(Mechanism::Away) && there.cost < here) =>
+        let is_sound = matches!(local, TargetChoice::Upstream { is_sound: true, .. });
+        let cost = cost.filter(|_| is_sound || matches!(local, TargetChoice::NoRoom { .. }));
+        match self.choose_region(now, query) {
+            Some(candidate)
+                if cost.is_none_or(|local| {
+                    self.is_enabled(Mechanism::Away) && candidate.cost < local
+                }) =>
             {
-                Choice::Away {
-                    here: cost,
-                    predicted: there.delay,
-                    region: there.region,
+                TargetChoice::OtherRegion {
+                    local_cost: cost,
+                    predicted: candidate.delay,
+                    region: candidate.region,
                 }
             }
-            None if matches!(here, Choice::Nowhere { .. }) => self.full_away(query).unwrap_or(here),
-            _ => here,
+            None if matches!(local, TargetChoice::Unavailable { .. }) => {
+                self.wait_for_region(query).unwrap_or(local)
+            }
+            _ => local,
         }
     }
 
-    /// How much later than it should an answer would end whose first byte comes after `delay` and whose
-    /// events come every `gap`.
-    fn lateness(&self, query: &ChoiceQuery, delay: Duration, gap: Duration) -> Duration {
+    /// Predicts by how much an answer would end too late if its first byte arrives after `delay`
+    /// and its events every `gap`.
+    fn predict_lateness(&self, query: &ChoiceQuery, delay: Duration, gap: Duration) -> Duration {
         let (Some(prompt), Some(engine)) = (query.prompt, query.engine) else {
             return Duration::ZERO;
         };
-        if !self.uses(Mechanism::EndInTime) {
+        if !self.is_enabled(Mechanism::EndInTime) {
             return Duration::ZERO;
         }
         let end = delay + gap * engine.events(prompt.output);
-        end.saturating_sub(query.left * Self::ENDS_PERMILLE / 1_000)
+        end.saturating_sub(query.remaining_time * Self::END_TARGET_PERMILLE / 1_000)
     }
 
-    /// What a request has to expect that other regions alone can serve and none has room for.
+    /// Returns the choice for a request that only other regions can serve while none of them has
+    /// room: to wait.
     ///
-    /// They tell of room again within a fraction of its aim. Refused at once, callers of a zone that is
-    /// evacuated at its peak came back, all together, to find the others' callers ahead of them again.
-    fn full_away(&self, query: &ChoiceQuery) -> Option<Choice> {
-        let predicted = self.away_trip + Self::FULL;
-        let serves =
-            self.uses(Mechanism::ForwardedWait) && self.regions_away(query).next().is_some();
-        serves.then_some(Choice::Full { predicted })
+    /// Such a region reports room again within a fraction of the first-byte target. If requests
+    /// were refused at once, the callers of a zone that is evacuated at peak load would all retry
+    /// together and again find the other region's callers ahead of them.
+    fn wait_for_region(&self, query: &ChoiceQuery) -> Option<TargetChoice> {
+        let predicted = self.region_round_trip + Self::NO_ROOM_DELAY;
+        let serves = self.is_enabled(Mechanism::ForwardedWait)
+            && self.eligible_regions(query).next().is_some();
+        serves.then_some(TargetChoice::NoRoom { predicted })
     }
 
-    pub(super) fn choose_here(&self, now: Duration, query: &ChoiceQuery) -> Choice {
-        let mut candidates = self.candidates(query, |known| self.is_candidate(now, query, known));
+    /// Chooses an upstream of the own region.
+    pub(super) fn choose_local(&self, now: Duration, query: &ChoiceQuery) -> TargetChoice {
+        let mut candidates =
+            self.find_candidates(query, |known| self.is_candidate(now, query, known));
         let is_sound = !candidates.is_empty();
         if !is_sound {
-            // All have failed lately. One of them may be back; where no other region can serve the
-            // request either, to refuse would be worse.
-            candidates = self.candidates(query, |known| self.is_open(now, query, known));
+            // Every upstream is backed off. One of them may have recovered; if no other region can
+            // serve the request either, trying one is better than refusing.
+            candidates = self.find_candidates(query, |known| self.is_open(now, query, known));
         }
-        let placed = query
+        let placement = query
             .prompt
-            .map(|prompt| self.placed(now, query, prompt, &candidates));
-        let weighed = candidates.iter().map(|known| match &placed {
-            Some(placed) => self.weigh_prompt(now, query, known, placed),
-            None => self.weigh_call(now, known),
+            .map(|prompt| self.place_prompt(now, query, prompt, &candidates));
+        let scored = candidates.iter().map(|known| match &placement {
+            Some(placement) => self.score_prompt(now, query, known, placement),
+            None => self.score_call(now, known),
         });
         let best =
-            weighed.min_by_key(|weighed| (weighed.is_full, weighed.cost, weighed.known.in_flight));
+            scored.min_by_key(|scored| (scored.is_full, scored.cost, scored.known.in_flight));
         let Some(best) = best else {
-            return Choice::Nowhere {
-                because: self.unfit(now, query),
-                retry_after: self.opens_after(now, query),
+            return TargetChoice::Unavailable {
+                reason: self.count_ineligible(now, query),
+                retry_after: self.retry_after(now, query),
             };
         };
         if best.is_full {
-            return Choice::Full {
+            return TargetChoice::NoRoom {
                 predicted: best.delay,
             };
         }
-        Choice::Here {
+        TargetChoice::Upstream {
             address: best.known.listed.address,
             candidates: u32::try_from(candidates.len()).unwrap_or(u32::MAX),
             import: best.import.map(|(source, tokens)| CacheSource {
@@ -172,31 +191,34 @@
             instance: best.known.listed.instance.clone(),
             is_sound,
             predicted: best.delay,
-            report_age: best.known.report(now).map(|(age, _)| age),
+            report_age: best.known.fresh_report(now).map(|(age, _)| age),
             unread: best.unread,
         }
     }
 
-    fn candidates<'a>(
+    /// Returns the upstreams of the request's service that `admits` accepts.
+    fn find_candidates<'a>(
         &'a self,
         query: &ChoiceQuery,
         admits: impl Fn(&KnownUpstream) -> bool,
     ) -> Vec<&'a KnownUpstream> {
-        let here = self.upstreams.values();
-        here.filter(|known| *known.listed.service == *query.service && admits(known))
+        let local = self.upstreams.values();
+        local
+            .filter(|known| *known.listed.service == *query.service && admits(known))
             .collect()
     }
 
-    fn choose_away(&self, now: Duration, query: &ChoiceQuery) -> Option<RegionCandidate> {
+    /// Chooses the other region with the lowest cost that may serve the request and has room.
+    fn choose_region(&self, now: Duration, query: &ChoiceQuery) -> Option<RegionCandidate> {
         let reading = query.prompt.map_or(Duration::ZERO, |prompt| {
-            let ms = prompt.input as f64 / self.mean_speed(query.service);
+            let ms = prompt.input as f64 / self.mean_reading_speed(query.service);
             Duration::from_secs_f64(ms / 1_000.0)
         });
-        let regions = self.regions_away(query);
-        let there = regions.filter_map(|region| {
-            let pressure = self.pressure_away(now, region, query.service)?;
-            let delay = pressure.first_byte + reading;
-            let cost = delay + self.lateness(query, delay, pressure.event_gap);
+        let regions = self.eligible_regions(query);
+        let candidates = regions.filter_map(|region| {
+            let latency = self.region_latency(now, region, query.service)?;
+            let delay = latency.first_byte + reading;
+            let cost = delay + self.predict_lateness(query, delay, latency.event_gap);
             let region = region.clone();
             Some(RegionCandidate {
                 cost,
@@ -204,13 +226,17 @@
                 region,
             })
         });
-        there.min_by_key(|there| there.cost)
+        candidates.min_by_key(|candidate| candidate.cost)
     }
 
-    /// Other regions that may and can serve a request, whether or not they have room.
-    fn regions_away<'a>(&'a self, query: &'a ChoiceQuery) -> impl Iterator<Item = &'a RegionId> {
+    /// Returns the other regions that may and can serve a request, with or without room.
+    fn eligible_regions<'a>(
+        &'a self,
+        query: &'a ChoiceQuery,
+    ) -> impl Iterator<Item = &'a RegionId> {
         let regions = query.reachable.iter();
-        let regions = regions.filter(|region| **region != self.here && query.allows(region));
+        let regions =
+            regions.filter(|region| **region != self.own_region && query.is_region_allowed(region));
         regions.filter(|region| {
             let mut upstreams = self.upstreams.values();
             upstreams
@@ -218,77 +244,91 @@
         })
     }
 
-    /// What a request has to expect in another region, with the way there and back; `None` while that has no
-    /// room.
-    fn pressure_away(&self, now: Duration, region: &RegionId, service: &str) -> Option<Pressure> {
+    /// Returns the predicted latency of a service in another region including the network round
+    /// trip; `None` while that region has no room.
+    fn region_latency(
+        &self,
+        now: Duration,
+        region: &RegionId,
+        service: &str,
+    ) -> Option<ServiceLatency> {
         let key = (region.clone(), ServiceId::from(service));
-        let told = self.away.get(&key);
-        let told = told.filter(|(at, _)| now.saturating_sub(*at) < Self::AWAY_LIFE);
-        let told = told.map(|(_, pressure)| *pressure).unwrap_or(Pressure {
-            event_gap: Duration::ZERO,
-            first_byte: Self::AWAY_UNKNOWN,
-        });
-        (told.first_byte < Self::FULL).then(|| Pressure {
-            first_byte: self.away_trip + told.first_byte,
-            ..told
+        let reported = self.region_latencies.get(&key);
+        let reported =
+            reported.filter(|(at, _)| now.saturating_sub(*at) < Self::REGION_LATENCY_LIFETIME);
+        let reported = reported
+            .map(|(_, latency)| *latency)
+            .unwrap_or(ServiceLatency {
+                event_gap: Duration::ZERO,
+                first_byte: Self::UNKNOWN_REGION_LATENCY,
+            });
+        (reported.first_byte < Self::NO_ROOM_DELAY).then(|| ServiceLatency {
+            first_byte: self.region_round_trip + reported.first_byte,
+            ..reported
         })
     }
 
-    /// Prompt tokens that an engine reads in a millisecond, by those of the own region: engines of another
-    /// one are not measured here.
-    fn mean_speed(&self, service: &str) -> f64 {
+    /// Returns the mean number of prompt tokens that an engine reads per millisecond, from the
+    /// engines of the own region; those of other regions are not measured here.
+    fn mean_reading_speed(&self, service: &str) -> f64 {
         let all = self.upstreams.values();
-        let here = all.filter(|known| *known.listed.service == *service && self.is_here(known));
-        let (sum, count) = here.fold((0.0, 0.0), |(sum, count), known| {
-            (sum + known.speed, count + 1.0)
+        let local = all.filter(|known| *known.listed.service == *service && self.is_local(known));
+        let (sum, count) = local.fold((0.0, 0.0), |(sum, count), known| {
+            (sum + known.reading_speed, count + 1.0)
         });
         match count > 0.0 {
             true => sum / count,
-            false => KnownUpstream::FIRST_SPEED,
+            false => KnownUpstream::INITIAL_READING_SPEED,
         }
     }
 
-    /// The engine from which `known`, which keeps the first `kept` tokens of the prompt, imports what
-    /// it lacks, and the time that it takes; `None` if no other one keeps any, or reading is faster.
+    /// Returns the engine from which `known`, which caches the first `cached` tokens of the prompt,
+    /// imports the missing ones, with their number and the time that the import takes; `None` if no
+    /// other engine caches more or reading is faster.
     ///
-    /// One is also named where `known` is not known to lack anything: it may have dropped a part for a
-    /// newer one, or may still be reading it for another request, and would then read it again. Shared
-    /// tokens read again on the worst of six days: 2.0 and 1.5 million without, 1.2, 1.3 and 1.1 with it
-    /// (a play each).
-    fn import<'a>(
+    /// An engine is also returned if `known` is not known to lack anything: it may have evicted a
+    /// part, or may still be reading it for another request, and would then read it again. Shared
+    /// tokens read again on the worst of six days (one run each): 2.0 and 1.5 million without this,
+    /// 1.2, 1.3 and 1.1 million with it.
+    fn find_import<'a>(
         &self,
         query: &ChoiceQuery,
         known: &KnownUpstream,
-        placed: &Placed<'a>,
-        kept: Tokens,
+        placement: &PromptPlacement<'a>,
+        cached: Tokens,
     ) -> Option<(&'a KnownUpstream, Tokens, Duration)> {
-        let terms = query.engine.filter(|_| self.uses(Mechanism::Imports))?;
-        let (source, tokens) = placed.prefixes.iter().find_map(|part| {
-            let source = Self::export(known, &part.holders)?;
-            Some((source, part.prefix.tokens.saturating_sub(kept)))
+        let terms = query
+            .engine
+            .filter(|_| self.is_enabled(Mechanism::Imports))?;
+        let (source, tokens) = placement.shared_prefixes.iter().find_map(|part| {
+            let source = Self::nearest_source(known, &part.holders)?;
+            Some((source, part.prefix.tokens.saturating_sub(cached)))
         })?;
         let same_zone = source.listed.zone == known.listed.zone;
-        let takes = match tokens {
+        let import_time = match tokens {
             0 => Duration::ZERO,
             _ => terms.import_time(tokens, same_zone)?,
         };
-        let within = match self.uses(Mechanism::ShortImports) {
-            true => Self::IMPORTED_WITHIN,
+        let within = match self.is_enabled(Mechanism::ShortImports) {
+            true => Self::ALWAYS_IMPORTED_WITHIN,
             false => Duration::ZERO,
         };
-        let is_worth_it = tokens == 0 || takes < known.reading(tokens).max(within);
-        is_worth_it.then_some((source, tokens, takes))
+        let is_worth_it = tokens == 0 || import_time < known.reading_time(tokens).max(within);
+        is_worth_it.then_some((source, tokens, import_time))
     }
 
-    /// The engine, other than `known`, that exports a beginning: the one nearest to it, and of equally near
-    /// ones that with the newest use, which is the least likely to have dropped it. What was read for
-    /// requests with homes leaves its region for those homes only.
-    fn export<'a>(known: &KnownUpstream, holders: &[Holder<'a>]) -> Option<&'a KnownUpstream> {
+    /// Returns the engine other than `known` from which to import a prefix: the nearest one, and of
+    /// equally near ones the one with the latest use, which is the least likely to have evicted the
+    /// prefix. A prefix read for requests with homes leaves its region only for those homes.
+    fn nearest_source<'a>(
+        known: &KnownUpstream,
+        holders: &[ImportSource<'a>],
+    ) -> Option<&'a KnownUpstream> {
         let to = known.region.as_ref();
         let may_leave = |homes: &BTreeSet<RegionId>| to.is_some_and(|to| homes.contains(to));
         let sources = holders.iter().filter(|holder| {
             let stays = holder.known.region.as_ref() == to;
-            holder.may_export
+            holder.can_export
                 && holder.known.key != known.key
                 && (stays || holder.homes.is_none_or(may_leave))
         });
@@ -300,24 +340,28 @@
         best.map(|holder| holder.known)
     }
 
-    /// Whether engines may import from this one. One that is leaving or evacuated may go on handing out
-    /// what it keeps: it does no work for it, and the others then need not read it again.
-    fn may_export(now: Duration, query: &ChoiceQuery, known: &KnownUpstream) -> bool {
+    /// Returns whether engines may import from this one. A leaving or evacuated engine may still
+    /// export its cache: this costs it no work and spares the others reading the same tokens again.
+    fn can_export(now: Duration, query: &ChoiceQuery, known: &KnownUpstream) -> bool {
         let region = known.region.as_ref();
         *known.listed.service == *query.service
-            && !known.is_gone
-            && now >= known.suspect_until
-            && region.is_some_and(|region| query.allows(region))
+            && !known.is_address_reused
+            && now >= known.backoff_until
+            && region.is_some_and(|region| query.is_region_allowed(region))
     }
 
-    fn placed<'a>(
+    /// Looks up the engines that cache the shared prefixes of a prompt, and the one that owns its
+    /// shared parts.
+    fn place_prompt<'a>(
         &'a self,
         now: Duration,
         query: &ChoiceQuery,
         prompt: &'a Prompt,
         candidates: &[&KnownUpstream],
-    ) -> Placed<'a> {
-        let shared = prompt.shared().filter(|_| self.uses(Mechanism::Owner));
+    ) -> PromptPlacement<'a> {
+        let shared = prompt
+            .placement_hash()
+            .filter(|_| self.is_enabled(Mechanism::Owner));
         let owner = shared.and_then(|shared| {
             let rendezvous = Rendezvous::new(shared);
             let owner = candidates
@@ -326,16 +370,18 @@
             owner.map(|known| known.key)
         });
         let holder = |export: Export<'a>| {
-            let known = self.upstreams.get(self.by_key.get(&export.instance)?)?;
-            Some(Holder {
+            let known = self
+                .upstreams
+                .get(self.instances_by_key.get(&export.instance)?)?;
+            Some(ImportSource {
                 homes: export.homes,
                 known,
-                may_export: Self::may_export(now, query, known),
+                can_export: Self::can_export(now, query, known),
                 used: export.used,
             })
         };
         let prefixes = SharedPrefix::of(prompt).into_iter();
-        let prefixes = prefixes.map(|prefix| Kept {
+        let prefixes = prefixes.map(|prefix| PrefixSources {
             holders: self
                 .caches
                 .holders(now, prefix.id)
@@ -343,68 +389,72 @@
                 .collect(),
             prefix,
         });
-        Placed {
+        PromptPlacement {
             owner,
-            prefixes: prefixes.collect(),
+            shared_prefixes: prefixes.collect(),
             prompt,
         }
     }
 
-    /// A delay at an upstream, with what its failures cost.
-    fn weighed(&self, known: &KnownUpstream, delay: Duration) -> Duration {
-        match self.uses(Mechanism::FailingWeight) {
-            true => known.weighed(delay),
+    /// Adds the expected cost of the upstream's failures to a delay there.
+    fn add_failure_cost(&self, known: &KnownUpstream, delay: Duration) -> Duration {
+        match self.is_enabled(Mechanism::FailingWeight) {
+            true => known.add_failure_cost(delay),
             false => delay,
         }
     }
 
-    fn weigh_call<'a>(&self, now: Duration, known: &'a KnownUpstream) -> Weighed<'a> {
-        let others = self.others(known);
-        let delay = known.call_delay(now, others);
-        Weighed {
-            cost: self.weighed(known, delay),
+    /// Scores an upstream for a call to a plain service.
+    fn score_call<'a>(&self, now: Duration, known: &'a KnownUpstream) -> ScoredUpstream<'a> {
+        let others = self.peer_load(known);
+        let delay = known.predict_call_duration(now, others);
+        ScoredUpstream {
+            cost: self.add_failure_cost(known, delay),
             delay,
             import: None,
-            is_full: !self.fits(now, known, false, 0),
+            is_full: !self.can_accept(now, known, false, 0),
             known,
             unread: 0,
         }
     }
 
-    fn weigh_prompt<'a>(
+    /// Scores an engine for a prompt, with the prefix that it caches or can import.
+    fn score_prompt<'a>(
         &self,
         now: Duration,
         query: &ChoiceQuery,
         known: &'a KnownUpstream,
-        placed: &Placed<'a>,
-    ) -> Weighed<'a> {
-        let others = self.others(known);
-        let prompt = placed.prompt;
-        let keeps = |part: &&Kept| part.holders.iter().any(|h| h.known.key == known.key);
-        let told = placed.prefixes.iter().filter(keeps);
-        let told = told.map(|part| part.prefix.tokens).max().unwrap_or(0);
-        let kept = known.prefixes.kept(prompt).max(told);
-        let import = self.import(query, known, placed, kept);
-        let import_time = import.map_or(Duration::ZERO, |(.., takes)| takes);
+        placement: &PromptPlacement<'a>,
+    ) -> ScoredUpstream<'a> {
+        let others = self.peer_load(known);
+        let prompt = placement.prompt;
+        let is_cached =
+            |part: &&PrefixSources| part.holders.iter().any(|h| h.known.key == known.key);
+        let reported = placement.shared_prefixes.iter().filter(is_cached);
+        let reported = reported.map(|part| part.prefix.tokens).max().unwrap_or(0);
+        let cached = known.sent_prefixes.cached_tokens(prompt).max(reported);
+        let import = self.find_import(query, known, placement, cached);
+        let import_time = import.map_or(Duration::ZERO, |(.., import_time)| import_time);
         let import = import.map(|(source, tokens, _)| (source, tokens));
         let imported = import.map_or(0, |(_, tokens)| tokens);
-        let unread = prompt.input.saturating_sub(kept + imported);
-        let is_owner = placed.owner == Some(known.key);
-        // What the owner reads of the shared parts is kept for all that come after, and read once.
-        let lasting = match is_owner {
-            true => prompt.shared_tokens().saturating_sub(kept + imported),
+        let unread = prompt.input.saturating_sub(cached + imported);
+        let is_owner = placement.owner == Some(known.key);
+        // Shared parts that the owner reads are cached for all later requests and read only once,
+        // so they are not charged.
+        let owner_tokens = match is_owner {
+            true => prompt.shared_tokens().saturating_sub(cached + imported),
             false => 0,
         };
-        let delay = known.engine_delay(now, unread, others) + import_time;
-        let burden = match self.uses(Mechanism::ReadingCosts) {
-            true => known.reading(unread - lasting.min(unread)) + import_time,
+        let delay = known.predict_first_byte(now, unread, others) + import_time;
+        let reading_cost = match self.is_enabled(Mechanism::ReadingCosts) {
+            true => known.reading_time(unread - owner_tokens.min(unread)) + import_time,
             false => Duration::ZERO,
         };
-        Weighed {
-            cost: self.weighed(known, delay) + burden * Self::READING_COSTS,
+        ScoredUpstream {
+            cost: self.add_failure_cost(known, delay) + reading_cost * Self::READING_COST_FACTOR,
             delay,
             import,
-            is_full: !self.fits(now, known, true, unread),
+            is_full: !self.can_accept(now, known, true, unread),
             known,
             unread,
         }
--- a/crates/ebonystand-core/src/gateway/upstream_pressure.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_pressure.rs
@@ -1,114 +1,125 @@
-//! What requests have to expect of a service, here and in other regions.
+//! Predicted latency of each service, in this region and as reported by other regions.
 
 use super::*;
 
 impl UpstreamBook {
-    /// Notes the time between two events of a stream from an upstream of this region.
-    pub fn stream_event(&mut self, now: Duration, instance: &str, gap: Duration) {
+    /// Records the time between two events of a stream from an upstream of this region.
+    pub fn record_stream_event(&mut self, now: Duration, instance: &str, gap: Duration) {
         if let Some(known) = self.upstreams.get(instance) {
             let service = known.listed.service.clone();
-            self.paces.entry(service).or_default().note(now, gap);
+            self.event_gaps
+                .entry(service)
+                .or_default()
+                .record_gap(now, gap);
         }
     }
 
-    /// Time between two events of a stream in this region.
+    /// Returns the recent average time between two stream events of a service in this region; zero
+    /// if no stream was seen recently.
     pub(super) fn event_gap(&self, now: Duration, service: &str) -> Duration {
-        self.paces
+        self.event_gaps
             .get(service)
-            .map_or(Duration::ZERO, |pace| pace.gap(now))
+            .map_or(Duration::ZERO, |meter| meter.average(now))
     }
 
-    /// What requests have to expect of each service served in this region, for VMs of other regions.
-    /// `is_engine` tells which services read prompts.
+    /// Predicts the latency of each service that has upstreams in this region, to be sent to other
+    /// regions. `is_engine` tells whether a service takes prompts; a predicted time to the first
+    /// byte leaves out the reading of the prompt itself.
     #[must_use]
-    pub fn pressures(
+    pub fn predict_latencies(
         &self,
         now: Duration,
         evacuated: &BTreeSet<ZoneId>,
         is_engine: impl Fn(&str) -> bool,
-    ) -> Vec<(ServiceId, Pressure)> {
+    ) -> Vec<(ServiceId, ServiceLatency)> {
         let services: BTreeSet<_> = self.upstreams.values().map(|u| &u.listed.service).collect();
         let reachable = BTreeSet::new();
         let empty = Prompt::default();
         let predicted = |service: &ServiceId| {
             let query = ChoiceQuery {
-                aim: Duration::MAX,
-                cold: ColdTerms::default(),
+                first_byte_target: Duration::MAX,
+                cold: ColdStartLimits::default(),
                 engine: None,
                 evacuated,
                 excluded: &[],
                 homes: None,
-                left: Duration::MAX,
+                remaining_time: Duration::MAX,
                 prompt: is_engine(service).then_some(&empty),
                 reachable: &reachable,
                 service,
             };
-            let first_byte = match self.choose_here(now, &query) {
-                Choice::Here { predicted, .. } => predicted,
-                // Whoever would send more here is told to wait as long as a request here does.
-                Choice::Full { predicted } => predicted + Self::FULL,
-                Choice::Away { .. } | Choice::Nowhere { .. } => return None,
+            let first_byte = match self.choose_local(now, &query) {
+                TargetChoice::Upstream { predicted, .. } => predicted,
+                // Another region that sends requests here must expect the same penalty as a local
+                // request.
+                TargetChoice::NoRoom { predicted } => predicted + Self::NO_ROOM_DELAY,
+                TargetChoice::OtherRegion { .. } | TargetChoice::Unavailable { .. } => return None,
             };
             let event_gap = self.event_gap(now, service);
-            let pressure = Pressure {
+            let latency = ServiceLatency {
                 event_gap,
                 first_byte,
             };
-            Some((service.clone(), pressure))
+            Some((service.clone(), latency))
         };
         services.into_iter().filter_map(predicted).collect()
     }
 
-    /// Notes that another region had no room for a request. None is sent there until it tells of
-    /// room: each would cost a round trip and its bytes, and a part of its caller's time.
-    pub fn refused_away(&mut self, now: Duration, region: &RegionId, service: &str) {
+    /// Records that another region refused a request for lack of room. No request is sent there
+    /// until it reports room or this entry expires: each would cost a round trip, its bytes on a
+    /// link between regions and part of its caller's time.
+    pub fn record_region_refusal(&mut self, now: Duration, region: &RegionId, service: &str) {
         let key = (region.clone(), ServiceId::from(service));
-        let told = self.away.get(&key).map(|(_, pressure)| *pressure);
-        let full = Pressure {
-            first_byte: Self::FULL,
-            ..told.unwrap_or_default()
+        let known = self.region_latencies.get(&key).map(|(_, latency)| *latency);
+        let no_room = ServiceLatency {
+            first_byte: Self::NO_ROOM_DELAY,
+            ..known.unwrap_or_default()
         };
-        self.away.insert(key, (now, full));
+        self.region_latencies.insert(key, (now, no_room));
     }
 
-    /// Takes what a VM of another region predicts there.
-    pub fn told(
+    /// Records the latencies that a VM of another region has just predicted for its own region.
+    pub fn receive_region_latencies(
         &mut self,
         now: Duration,
         region: &RegionId,
-        pressures: Vec<(ServiceId, Pressure)>,
+        latencies: Vec<(ServiceId, ServiceLatency)>,
     ) {
-        for (service, pressure) in pressures {
-            self.told_at(now, region, service, pressure);
+        for (service, latency) in latencies {
+            self.record_region_latency(now, region, service, latency);
         }
     }
 
-    pub(super) fn told_at(
+    pub(super) fn record_region_latency(
         &mut self,
         at: Duration,
         region: &RegionId,
         service: ServiceId,
-        pressure: Pressure,
+        latency: ServiceLatency,
     ) {
         let key = (region.clone(), service);
-        if self.away.get(&key).is_none_or(|(known, _)| *known <= at) {
-            self.away.insert(key, (at, pressure));
+        if self
+            .region_latencies
+            .get(&key)
+            .is_none_or(|(known, _)| *known <= at)
+        {
+            self.region_latencies.insert(key, (at, latency));
         }
     }
 
-    /// What other regions have told lately.
-    pub(super) fn told_pressures(&self, now: Duration) -> Vec<ToldPressure> {
-        let told = self.away.iter();
-        let told = told.map(|((region, service), (at, pressure))| {
+    /// Returns the unexpired latencies reported by other regions, for the relays' messages.
+    pub(super) fn recent_region_latencies(&self, now: Duration) -> Vec<ToldPressure> {
+        let reported = self.region_latencies.iter();
+        let reported = reported.map(|((region, service), (at, latency))| {
             let age = now.saturating_sub(*at);
-            (age < Self::AWAY_LIFE).then(|| ToldPressure {
+            (age < Self::REGION_LATENCY_LIFETIME).then(|| ToldPressure {
                 age_ms: age.as_millis() as u64,
-                event_gap_ms: pressure.event_gap.as_millis() as u64,
-                first_byte_ms: pressure.first_byte.as_millis() as u64,
+                event_gap_ms: latency.event_gap.as_millis() as u64,
+                first_byte_ms: latency.first_byte.as_millis() as u64,
                 region: region.clone(),
                 service: service.clone(),
             })
         });
-        told.flatten().collect()
+        reported.flatten().collect()
     }
 }
--- a/crates/ebonystand-core/tests/gateway/caches.rs
+++ b/crates/ebonystand-core/tests/gateway/caches.rs
@@ -1,8 +1,8 @@
-//! What engines keep of prompts, and from which one another imports it.
+//! Cached prompt prefixes: which engine imports which prefix from which other one.
 
 use {super::*, rstest::rstest};
 
-/// Engines `u1` and `u2` in region `a`, where the book's VM stands, and `v1` in region `b`.
+/// Engines `u1` and `u2` in region `a`, where the book's VM is, and `v1` in region `b`.
 fn two_regions() -> Vec<ListedUpstream> {
     vec![
         listed("u1", "a-1", 1),
@@ -11,9 +11,9 @@
     ]
 }
 
-/// What a book tells the VMs of its region of engines' caches.
+/// Returns the cached prefixes that a book reports to each VM of its region.
 fn news(book: &mut UpstreamBook, now: Duration) -> Vec<(VmId, Vec<CachedPrefix>)> {
-    let messages = book.load_messages(now).into_iter();
+    let messages = book.build_load_messages(now).into_iter();
     let news = messages.map(|(vm, message)| match message {
         LoadMessage::Group { cached, .. }
         | LoadMessage::Region { cached, .. }
@@ -24,26 +24,26 @@
 
 fn keep(book: &mut UpstreamBook, now: Duration, sets: &Sets, instance: &str, prompt: &Prompt) {
     let prefixes = SharedPrefix::of(prompt);
-    book.keeps(now, &instance.into(), &prefixes, sets.homes.as_ref());
+    book.record_cached_prefixes(now, &instance.into(), &prefixes, sets.homes.as_ref());
 }
 
-/// The engine that a request goes to, and the one that this imports from.
+/// Returns the engine that a request goes to, and the source that it imports from.
 fn import(
     book: &UpstreamBook,
     now: Duration,
     sets: &Sets,
     prompt: &Prompt,
 ) -> (Box<str>, Option<CacheSource>) {
-    match book.choose(now, &sets.query(Some(prompt))) {
-        Choice::Here {
+    match book.choose_target(now, &sets.query(Some(prompt))) {
+        TargetChoice::Upstream {
             instance, import, ..
         } => (instance, import),
         other => panic!("{other:?}"),
     }
 }
 
-/// An engine of another region has read a shared part. The first request for it here reads its own part
-/// only and takes the rest from there; nothing is left to be read twice.
+/// An engine of another region has read a shared part. The first request with that part in this
+/// region must read only its own part and import the rest instead of reading it again.
 #[test]
 fn what_another_region_has_read_is_imported() {
     let sets = Sets::default();
@@ -54,13 +54,16 @@
     let source = import(&book, ms(1), &sets, &second).1.expect("a source");
     assert_eq!((&*source.instance, source.tokens), ("v1", 5_500));
     assert_eq!(source.address.port(), 3);
-    let Choice::Here { unread, .. } = book.choose(ms(1), &sets.query(Some(&second))) else {
+    let TargetChoice::Upstream { unread, .. } =
+        book.choose_target(ms(1), &sets.query(Some(&second)))
+    else {
         panic!("somebody can serve it");
     };
     assert_eq!(unread, 1_000);
 }
 
-/// The engine of the own region is nearer than that of another one.
+/// An engine of the own region and one of another region cache the same prefix. The import must use
+/// the nearer one, since bandwidth between regions is scarce.
 #[test]
 fn the_nearest_engine_exports() {
     let sets = Sets::default();
@@ -70,7 +73,7 @@
     let other = if &*chosen == "u1" { "u2" } else { "u1" };
     keep(&mut book, ms(0), &sets, other, &prompt);
     keep(&mut book, ms(5), &sets, "v1", &prompt);
-    // The chosen one is the owner of the part and idle, but has not read it.
+    // The chosen engine owns the part and is idle, but has not read it.
     let excluded = Sets {
         excluded: vec![other.into()],
         ..Sets::default()
@@ -79,8 +82,9 @@
     assert_eq!(&*source.expect("a source").instance, other);
 }
 
-/// What was read for a workspace that is bound to region `b` is stored outside of its homes if an engine of
-/// region `a` imports it, whoever asks. It may leave once a workspace that is bound to none has used it too.
+/// Prompts of a workspace that is bound to region `b` must not be stored outside of its homes. An
+/// engine of region `a` that imported them for any other caller would do that. They may leave once
+/// a workspace without homes has used the same prefix.
 #[rstest]
 #[case::bound_elsewhere(&[Some("b")], false)]
 #[case::bound_to_none(&[None], true)]
@@ -104,7 +108,8 @@
     assert_eq!(source.is_some(), leaves, "{source:?}");
 }
 
-/// The same within one region: it is stored there already.
+/// A prefix read for a workspace that is bound to region `a` is stored there already, so another
+/// engine of that region may import it for any caller.
 #[test]
 fn what_is_kept_for_some_homes_is_imported_inside_of_them() {
     let bound = Sets {
@@ -124,7 +129,8 @@
     assert_eq!(&*source.expect("a source").instance, other);
 }
 
-/// A workspace is bound to region `a`. An engine of region `b` is no source, whoever says that it keeps it.
+/// A workspace is bound to region `a`. An engine of region `b` must not be its import source,
+/// whichever VM reports that it caches the prefix.
 #[test]
 fn nothing_is_imported_from_outside_of_the_homes() {
     let sets = Sets {
@@ -137,18 +143,18 @@
     assert_eq!(import(&book, ms(1), &sets, &prompt).1, None);
 }
 
-/// An engine that kept a part is gone, down, cold, taken over by another server or has long not used
-/// it: nothing is expected of it any more.
+/// An engine that cached a prefix is unlisted, down, cold, replaced by another server, or has not
+/// used the prefix for a long time. A request must not rely on its cache any more.
 #[rstest]
-#[case::unlisted(|book: &mut UpstreamBook| book.list(ms(10), two_regions()[..2].to_vec()))]
-#[case::down(|book: &mut UpstreamBook| book.ended(ms(10), "v1", AttemptEnd::Unreachable, ms(1)))]
-#[case::another_server(|book: &mut UpstreamBook| book.ended(ms(10), "v1", AttemptEnd::Stranger, ms(1)))]
+#[case::unlisted(|book: &mut UpstreamBook| book.update_list(ms(10), two_regions()[..2].to_vec()))]
+#[case::down(|book: &mut UpstreamBook| book.record_attempt_end(ms(10), "v1", AttemptEnd::Unreachable, ms(1)))]
+#[case::another_server(|book: &mut UpstreamBook| book.record_attempt_end(ms(10), "v1", AttemptEnd::AddressReused, ms(1)))]
 #[case::cold(|book: &mut UpstreamBook| {
     let mut all = two_regions();
     all[2].cold_for = ms(3_000);
-    book.list(ms(10), all);
+    book.update_list(ms(10), all);
 })]
-#[case::long_unused(|book: &mut UpstreamBook| drop(book.load_messages(ms(40_000))))]
+#[case::long_unused(|book: &mut UpstreamBook| drop(book.build_load_messages(ms(40_000))))]
 fn an_engine_that_lost_what_it_kept_is_no_source(#[case] loses: fn(&mut UpstreamBook)) {
     let sets = Sets::default();
     let mut book = book(two_regions());
@@ -160,8 +166,8 @@
     assert_eq!(import(&book, now, &sets, &prompt).1, None);
 }
 
-/// An engine is about to be taken away and gets no new requests. The others take what it keeps while it
-/// is still there.
+/// An engine is about to stop and gets no new requests. The others must import what it caches while
+/// it still runs, or they would read it all again.
 #[rstest]
 #[case::leaving(true)]
 #[case::evacuated(false)]
@@ -175,13 +181,13 @@
         true => all[1].leaving = true,
         false => sets.evacuated = set(&["a-2"]),
     }
-    book.list(ms(1), all);
+    book.update_list(ms(1), all);
     let (chosen, source) = import(&book, ms(2), &sets, &prompt);
     assert_eq!(&*chosen, "u1");
     assert_eq!(&*source.expect("a source").instance, "u2");
 }
 
-/// Engines without a link to each other read for themselves.
+/// Engines without a link between them must read prompts themselves.
 #[test]
 fn without_a_link_nothing_is_imported() {
     let sets = Sets::default();
@@ -190,15 +196,16 @@
     keep(&mut book, ms(0), &sets, "v1", &prompt);
     let mut query = sets.query(Some(&prompt));
     query.engine = Some(EngineTerms::default());
-    let choice = book.choose(ms(1), &query);
+    let choice = book.choose_target(ms(1), &query);
     assert!(
-        matches!(choice, Choice::Here { import: None, .. }),
+        matches!(choice, TargetChoice::Upstream { import: None, .. }),
         "{choice:?}"
     );
 }
 
-/// A VM of another region is told once, and tells its region: bytes between regions are dear, and all
-/// VMs there know. What goes on being used is told again before it counts as dropped.
+/// Bandwidth between regions is scarce, so one VM of another region gets each report once and
+/// passes it on within its region. A prefix that stays in use is reported again before the
+/// receivers drop it as unused.
 #[test]
 fn what_is_told_reaches_each_vm_once() {
     let sets = Sets::default();
@@ -210,8 +217,8 @@
     let prompt = prompt(7, 1);
     keep(&mut first, ms(0), &sets, "v1", &prompt);
     keep(&mut first, ms(1_000), &sets, "v1", &prompt);
-    let away = first.caches_for_others();
-    // Each of the prompt's two shared beginnings.
+    let away = first.take_caches_for_regions();
+    // One report for each of the prompt's two shared prefixes.
     assert_eq!(away.len(), 2);
     for (book, region) in [
         (&mut first, ["vm1", "vm4"]),
@@ -221,23 +228,23 @@
         book.set_vms(&region_vms(region.map(str::to_owned)));
     }
     assert_eq!(news(&mut first, ms(50)), [("vm4".into(), away.clone())]);
-    second.caches_told(ms(60), away);
-    assert_eq!(second.caches_for_others(), []);
-    let messages = second.load_messages(ms(150));
+    second.receive_region_caches(ms(60), away);
+    assert_eq!(second.take_caches_for_regions(), []);
+    let messages = second.build_load_messages(ms(150));
     let [(to, message)] = messages.as_slice() else {
         panic!("one VM is told: {messages:?}");
     };
     assert_eq!(&**to, "vm3");
-    third.load_told(ms(160), &"vm2".into(), message.clone());
+    third.receive_load_message(ms(160), &"vm2".into(), message.clone());
     assert_eq!(news(&mut third, ms(160)), []);
-    assert_eq!(third.caches_for_others(), []);
+    assert_eq!(third.take_caches_for_regions(), []);
     assert!(import(&third, ms(161), &sets, &prompt).1.is_some());
     keep(&mut first, ms(6_000), &sets, "v1", &prompt);
-    assert_eq!(first.caches_for_others().len(), 2);
+    assert_eq!(first.take_caches_for_regions().len(), 2);
 }
 
-/// Relays send each word on to a dozen VMs over links of 10 Mbit/s. With names and homes spelt out for each, those of
-/// 2,000 words a second would be full.
+/// Relays send each cache report on to a dozen VMs over links of 10 Mbit/s. With names and homes
+/// written out in each one, 2,000 reports per second would fill the links.
 #[test]
 fn a_word_of_what_is_kept_is_short() {
     let cached = (0..1_000_u64).map(|n| CachedPrefix {
@@ -265,8 +272,9 @@
     assert_eq!(sorted(read), sorted(cached));
 }
 
-/// All VMs of a region use a new part at the same moment and tell their relay of it before they hear of one another. Passed
-/// on as they come, one word would take as many places in each message as there are VMs.
+/// All VMs of a region use a new prefix at the same moment and report it to their relay before they
+/// hear of one another. Passed on as they arrive, the reports would take as many places in each
+/// message as there are VMs.
 #[test]
 fn what_several_vms_tell_at_once_is_passed_on_once() {
     let mut relay = book_of("vm0", two_regions());
@@ -282,10 +290,10 @@
             number: 1,
             under_way: Vec::new(),
         };
-        relay.load_told(ms(vm), &format!("vm{vm}").into(), message);
+        relay.receive_load_message(ms(vm), &format!("vm{vm}").into(), message);
     }
     assert_eq!(
-        relay.caches_for_others().as_slice(),
+        relay.take_caches_for_regions().as_slice(),
         std::slice::from_ref(&cached)
     );
     let told = news(&mut relay, ms(50));
@@ -293,7 +301,8 @@
     assert!(told.iter().all(|(_, news)| *news == [cached.clone()]));
 }
 
-/// Callers without end ask for parts that nobody has asked for before. What is known of them stays bounded.
+/// Callers keep sending prompts with prefixes never seen before. The directory must not grow
+/// without bound.
 #[test]
 fn the_parts_that_are_known_are_bounded() {
     let mut directory = CacheDirectory::default();
@@ -312,8 +321,8 @@
     assert!(directory.keeps(ms(60_000), 7, "u1"));
 }
 
-/// A VM of a fleet with one region has nobody to tell of another one. What it would tell goes on coming for weeks, and
-/// must not fill its memory.
+/// A VM of a fleet with a single region has no other region to report to. The reports pending for
+/// other regions accumulate for weeks and must not fill its memory.
 #[test]
 fn what_nobody_is_told_is_bounded() {
     let mut directory = CacheDirectory::default();
@@ -328,8 +337,9 @@
     assert_eq!(directory.take_for_others().len(), CacheDirectory::MOST);
 }
 
-/// A part of 90 tokens is read in the time that an import takes to be set up. It is imported all the same: the
-/// engine's time is scarcer than its link's, and a request waits no more than 10 ms for it.
+/// Reading a part of 90 tokens takes as long as setting up an import. The part must be imported all
+/// the same: the engine's time is scarcer than its link's, and the request waits at most 10 ms for
+/// it.
 #[test]
 fn short_parts_are_imported_too() {
     let sets = Sets::default();
--- a/crates/ebonystand-core/tests/gateway/configuration.rs
+++ b/crates/ebonystand-core/tests/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! What is put in force, and for how long a VM may rely on it.
+//! Validation and replacement of the routing, and how long a VM may rely on its copy.
 
 use {super::*, rstest::rstest};
 
@@ -31,7 +31,7 @@
     let mut routing = routing(1);
     routing.routes = vec![route("outer", "/a/"), route("inner", "/a/b/")];
     let table = RouteTable::from(routing);
-    let found = |host| table.find(host, path).map(|route| &*route.name);
+    let found = |host| table.find_route(host, path).map(|route| &*route.name);
     assert_eq!(found("h"), wanted);
     assert_eq!(found("h:8080"), wanted);
     assert_eq!(found("other"), None);
@@ -40,7 +40,7 @@
 #[test]
 fn a_split_follows_its_weights_and_equal_prompts_stay_together() {
     let mut split = route("r", "/a/");
-    let part = |service: &str, weight| SplitPart {
+    let part = |service: &str, weight| WeightedService {
         service: service.into(),
         weight,
     };
@@ -48,12 +48,12 @@
     let count = |service: &str| {
         let hashes = 0..1_000_u64;
         hashes
-            .filter(|hash| split.service(*hash).is_some_and(|s| **s == *service))
+            .filter(|hash| split.select_service(*hash).is_some_and(|s| **s == *service))
             .count()
     };
     assert_eq!((count("s"), count("t"), count("none")), (900, 100, 0));
-    assert_eq!(prompt(7, 1).shared(), prompt(7, 2).shared());
-    assert_ne!(prompt(7, 1).shared(), prompt(8, 1).shared());
+    assert_eq!(prompt(7, 1).placement_hash(), prompt(7, 2).placement_hash());
+    assert_ne!(prompt(7, 1).placement_hash(), prompt(8, 1).placement_hash());
 }
 
 #[rstest]
@@ -83,9 +83,10 @@
     assert_eq!(routing.faults(), []);
 }
 
-/// An operator's answer is lost and it sends the same again; meanwhile another operator has put a
-/// higher number in force, or other content under the same one arrives. All of them are accepted,
-/// and what is in force is the first content of the highest number.
+/// The answer to an operator is lost, and the operator sends the same configuration again.
+/// Meanwhile another operator has put a higher revision in force, or different content arrives
+/// under the same revision. All are accepted, and the first content of the highest revision stays
+/// in force.
 #[test]
 fn the_highest_number_stays_in_force_and_others_are_accepted_without_effect() {
     let mut catalog = Catalog::default();
@@ -115,8 +116,8 @@
     assert_eq!(workspaces["w"].residency, set(&["a"]));
 }
 
-/// An operator applies a document that was made before the routing and the evacuation. Both have
-/// orders of their own, and an old file must not undo them.
+/// An operator applies a document that predates the current routing and an evacuation. Both have
+/// commands of their own, and an outdated file must not undo them.
 #[test]
 fn a_document_that_is_applied_undoes_neither_a_routing_nor_an_evacuation() {
     let mut catalog = Catalog::default();
@@ -150,29 +151,31 @@
     assert_eq!(catalog.version(), 2);
 }
 
-/// A key is taken away while a VM is cut off. The VM hears nothing any more and must stop serving
-/// by its old copy within the bound, counted from its last question and not from a late answer.
+/// A key is revoked while a VM is partitioned from the rest. The VM receives no messages and must
+/// stop serving from its old copy within the bound, counted from its last question rather than from
+/// a late answer.
 #[test]
 fn a_copy_that_nobody_confirms_is_not_served_from() {
     let mut confirmation = Confirmation::new(ms(4_000));
     assert!(!confirmation.is_valid(ms(0)));
-    confirmation.answered(ms(1_000), 7, 7);
+    confirmation.record_answer(ms(1_000), 7, 7);
     assert!(confirmation.is_valid(ms(4_999)));
     assert!(!confirmation.is_valid(ms(5_000)));
-    confirmation.answered(ms(2_000), 8, 7);
+    confirmation.record_answer(ms(2_000), 8, 7);
     assert!(!confirmation.is_valid(ms(5_000)), "a newer version exists");
-    confirmation.answered(ms(2_000), 8, 8);
+    confirmation.record_answer(ms(2_000), 8, 8);
     assert!(confirmation.is_valid(ms(5_999)));
     assert!(!confirmation.is_valid(ms(6_000)));
-    confirmation.answered(ms(1_500), 8, 8);
+    confirmation.record_answer(ms(1_500), 8, 8);
     assert!(
         confirmation.is_valid(ms(5_999)),
         "an older answer takes nothing back"
     );
 }
 
-/// A VM that holds parts of allowances dies and another one joins. The parts stay while one of the
-/// region's holders lives: a part that moves rests, and its tokens are missing meanwhile.
+/// A VM that holds parts of allowances dies and another one joins. The holders must stay while one
+/// of the region's holders is live: a part that moves is unusable for a while, and its tokens are
+/// missing meanwhile.
 #[test]
 fn holders_stay_while_one_of_them_lives() {
     let regions = set(&["a", "b"]);
@@ -186,12 +189,12 @@
         let delay = ms(60);
         let regions = &regions;
         HolderPlan {
-            delay,
+            region_delay: delay,
             live,
-            present,
+            current: present,
             regions,
         }
-        .regions()
+        .plan_regions()
     };
     let first = plan(
         &BTreeMap::new(),
@@ -206,8 +209,8 @@
     assert_eq!(third["b"], first["b"]);
 }
 
-/// What may be used in any window, with the part that is given out of what is borne beyond it, is
-/// within what is borne.
+/// The usage that a quota permits in any window, including the part of the overage granted in
+/// advance, must stay within the tolerated overage.
 #[test]
 fn a_quota_with_its_overage_stays_within_what_is_borne() {
     for rate in [1, 100, 300_000] {
--- a/crates/ebonystand-core/tests/gateway/directory.rs
+++ b/crates/ebonystand-core/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Whom callers are told to connect to.
+//! Entry lists for callers, and which VM reads the list of upstreams.
 
 use {super::*, rstest::rstest};
 
@@ -32,17 +32,21 @@
     };
     let homes = homes.iter().map(|homes| set(homes)).collect::<Vec<_>>();
     let homes = homes.iter().collect::<Vec<_>>();
-    let choice = EntryChoice {
+    let choice = EntryListSelector {
         caller: &caller,
-        draw,
+        random_seed: draw,
         homes: &homes,
     };
-    choice.pick(vms).iter().map(SocketAddr::port).collect()
+    choice
+        .select_addresses(vms)
+        .iter()
+        .map(SocketAddr::port)
+        .collect()
 }
 
-/// VMs of the caller's region are stopped one after the other. The caller is sent to those that stay,
-/// then to one that is leaving but serves on, and only then to another region, a home before any
-/// other: a request that lands outside its homes would have its body there too.
+/// VMs of the caller's region are stopped one after the other. The caller must be sent to those
+/// that stay, then to a leaving one that still serves, and only then to another region, preferring
+/// a home: a request that arrives outside of its homes would have its body there too.
 #[rstest]
 #[case::near(&[(1, "a", true, false), (2, "a", true, false), (3, "b", true, false)], &[], &[8_001, 8_002])]
 #[case::not_leaving(&[(1, "a", true, true), (2, "a", true, false), (3, "b", true, false)], &[], &[8_002])]
@@ -67,10 +71,11 @@
 fn a_list_names_a_bounded_number_of_vms() {
     let vms = (1..=200).map(|name| vm(&name.to_string(), "a", true, false));
     let vms = vms.collect::<Vec<_>>();
-    assert_eq!(ports(&vms, &[]).len(), EntryChoice::LONGEST);
+    assert_eq!(ports(&vms, &[]).len(), EntryListSelector::MAX_ADDRESSES);
 }
 
-/// A list named the first 64 VMs of a region by name: the others had no callers, and these had theirs.
+/// In a large region, a list that always names the first 64 VMs by name sends all callers to these
+/// and none to the others.
 #[rstest]
 #[case::zones_of_a_region(&[49, 49])]
 #[case::one_large_zone(&[98])]
@@ -89,11 +94,11 @@
     }
     let mut named = BTreeMap::<u16, u32>::new();
     for draw in 0..600 {
-        // Callers stand where VMs are planned: as many in each zone.
+        // Callers are spread like VMs: equally over the zones.
         let zone = format!("a-{}", draw % zones.len() as u64 + 1);
         let ports = ports_for(&zone, draw, &vms, &[]);
         for port in &ports {
-            // A caller takes each VM that is named as often.
+            // A caller uses all VMs on its list equally often.
             *named.entry(*port).or_default() += 6_400 / ports.len() as u32;
         }
     }
@@ -103,7 +108,8 @@
     assert!(most < mean * 3 / 2, "{most}, mean {mean}");
 }
 
-/// Callers close connections to VMs that a new list does not name.
+/// Callers close connections to VMs that a new list does not name, so lists for the same zone must
+/// not change from one request to the next.
 #[test]
 fn a_zone_with_enough_vms_is_named_the_same_each_time() {
     let vms = (1..=98).map(|name| VmRecord {
@@ -120,36 +126,37 @@
     assert_eq!(sorted(1), sorted(2));
 }
 
-/// Three VMs of a region; the first by name reads the list for all. It goes silent, and the others
-/// read for themselves until they hear of it again.
+/// Of three VMs of a region, the first by name reads the list for all. When it falls silent, the
+/// others must read the list themselves until they receive it again.
 #[test]
 fn one_vm_of_a_region_reads_the_list_and_others_take_over_when_it_is_silent() {
     let vms = ["1", "2", "3"].map(VmId::from);
     let mut readers = vms
         .clone()
-        .map(|_| ListReader::new(ms(1_000), Duration::ZERO));
-    let reads = |readers: &[ListReader], at| {
+        .map(|_| ListReaderElection::new(ms(1_000), Duration::ZERO));
+    let reads = |readers: &[ListReaderElection], at| {
         let reads = readers.iter().zip(&vms);
-        let reads = reads.filter(|(reader, vm)| reader.reads(ms(at), vm, &vms));
+        let reads = reads.filter(|(reader, vm)| reader.is_reader(ms(at), vm, &vms));
         reads.map(|(_, vm)| &**vm).collect::<String>()
     };
     assert_eq!(reads(&readers, 500), "1", "the others are to hear of it");
     assert_eq!(reads(&readers, 3_000), "123", "they hear nothing");
-    readers[1].heard(ms(3_000));
-    readers[2].heard(ms(3_000));
+    readers[1].record_list_received(ms(3_000));
+    readers[2].record_list_received(ms(3_000));
     assert_eq!(reads(&readers, 5_900), "1");
     assert_eq!(reads(&readers, 6_000), "123");
-    readers[2].heard(ms(6_100));
+    readers[2].record_list_received(ms(6_100));
     assert_eq!(reads(&readers, 6_200), "12");
 }
 
-/// Three hundred VMs start together, and each has met few yet. Were each to read the list, its server, whose rate
-/// is for the whole fleet, would be asked for it hundreds of times.
+/// Three hundred VMs start together, and each has discovered only a few others. If each of them
+/// read the list, its server, whose rate limit covers the whole fleet, would get hundreds of
+/// requests.
 #[test]
 fn vms_that_start_together_do_not_all_read_the_list() {
     let vm = |vm: usize| VmId::from(format!("{vm:03}"));
-    let mut readers = vec![ListReader::new(ms(1_000), ms(0)); 300];
-    // Each meets a further one every 50 ms for three seconds, as small VMs that start together do.
+    let mut readers = vec![ListReaderElection::new(ms(1_000), ms(0)); 300];
+    // Each discovers another VM every 50 ms for three seconds, as small VMs that start together do.
     let met = |own: usize, at: u64| {
         let met = (at / 50).min(60) as usize;
         let others = (0..300).filter(move |other| *other == own || (own + other) % 61 < met);
@@ -159,7 +166,9 @@
     for at in (0..2_900).step_by(50) {
         for (own, reader) in readers.iter_mut().enumerate() {
             let others = met(own, at);
-            if reader.has_met(ms(at), &others) && reader.reads(ms(at), &vm(own), &others) {
+            if reader.has_discovered_peers(ms(at), &others)
+                && reader.is_reader(ms(at), &vm(own), &others)
+            {
                 reading.insert(own);
             }
         }
@@ -167,12 +176,14 @@
     assert_eq!(reading, BTreeSet::new(), "who is first is not known yet");
     let all = (0..300).map(vm).collect::<Vec<_>>();
     for (own, reader) in readers.iter_mut().enumerate() {
-        assert!(!reader.has_met(ms(2_900), &all));
-        assert!(reader.has_met(ms(3_200), &all));
-        reader.heard(ms(2_900));
-        assert_eq!(reader.reads(ms(3_200), &vm(own), &all), own == 0);
+        assert!(!reader.has_discovered_peers(ms(2_900), &all));
+        assert!(reader.has_discovered_peers(ms(3_200), &all));
+        reader.record_list_received(ms(2_900));
+        assert_eq!(reader.is_reader(ms(3_200), &vm(own), &all), own == 0);
     }
-    let mut alone = ListReader::new(ms(1_000), ms(0));
-    assert!(!alone.has_met(ms(0), &[vm(7)]));
-    assert!(alone.has_met(ms(500), &[vm(7)]) && alone.reads(ms(500), &vm(7), &[vm(7)]));
+    let mut alone = ListReaderElection::new(ms(1_000), ms(0));
+    assert!(!alone.has_discovered_peers(ms(0), &[vm(7)]));
+    assert!(
+        alone.has_discovered_peers(ms(500), &[vm(7)]) && alone.is_reader(ms(500), &vm(7), &[vm(7)])
+    );
 }
--- a/crates/ebonystand-core/tests/gateway/load.rs
+++ b/crates/ebonystand-core/tests/gateway/load.rs
@@ -1,19 +1,20 @@
-//! More requests than the upstreams can begin in time: what callers get.
+//! Overload: what callers get when more requests arrive than the upstreams can start in time.
 
 use super::*;
 
-/// An engine that reads prompts one after the other and can take nothing back.
+/// Simulated engine that reads prompts one after the other and cannot drop any.
 struct Engine {
     free_at: Duration,
     name: Box<str>,
 }
 
-/// Prompt tokens that the engine reads in a millisecond.
+/// Prompt tokens that the engine reads per millisecond.
 const SPEED: u64 = 100;
 const AIM: Duration = Duration::from_millis(800);
 
-/// Plays `per_s` prompts of 2,000 tokens a second before one VM and two engines for ten seconds, with
-/// or without the windows, and returns the share that begins within the aim.
+/// Simulates one VM and two engines for ten seconds with `per_s` prompts of 2,000 tokens per
+/// second, with or without work windows, and returns the share of answers that begin within the
+/// target.
 fn share_in_time(per_s: u64, with_windows: bool) -> f64 {
     let sets = Sets::default();
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "a-1", 2)]);
@@ -27,8 +28,8 @@
         let now = Duration::from_micros(n * 1_000_000 / per_s);
         begins.sort_by_key(|begin| std::cmp::Reverse(begin.0));
         while let Some((at, instance, unread, sent)) = begins.pop_if(|begin| begin.0 <= now) {
-            book.first_byte(at, &instance, unread, AIM, Some(at - sent));
-            book.ended(at, &instance, AttemptEnd::Answered, at - sent);
+            book.record_first_byte(at, &instance, unread, AIM, Some(at - sent));
+            book.record_attempt_end(at, &instance, AttemptEnd::Answered, at - sent);
         }
         asked += 1;
         let prompt = Prompt {
@@ -40,8 +41,8 @@
             ..prompt(n, n)
         };
         let query = sets.query(Some(&prompt));
-        let (instance, unread) = match book.choose(now, &query) {
-            Choice::Here {
+        let (instance, unread) = match book.choose_target(now, &query) {
+            TargetChoice::Upstream {
                 instance, unread, ..
             } => (instance, unread),
             _ if with_windows => continue,
@@ -50,7 +51,7 @@
         let Some(engine) = engines.iter_mut().find(|engine| engine.name == instance) else {
             continue;
         };
-        book.sent(now, &query, &instance, unread);
+        book.record_sent(now, &query, &instance, unread);
         engine.free_at = engine.free_at.max(now) + ms(unread / SPEED);
         in_time += u64::from(engine.free_at - now <= AIM);
         begins.push((engine.free_at, instance, unread, now));
@@ -58,9 +59,10 @@
     in_time as f64 / asked as f64
 }
 
-/// Twice as many prompts come as the engines can read. Sent on as they come, they wait in the engines
-/// ever longer, and after the first second nobody is served in time. Kept back, as many are served in
-/// time as the engines can read, and the others are told so at once.
+/// Prompts arrive at twice the rate at which the engines can read them. Sent on at once, they wait
+/// ever longer in the engines, and after the first second no answer begins in time. With work
+/// windows, as many begin in time as the engines can read, and the other callers are refused at
+/// once.
 #[test]
 fn under_twice_the_load_the_engines_read_for_callers_who_are_still_in_time() {
     let capacity = 2 * SPEED * 1_000 / 2_000;
@@ -71,7 +73,8 @@
     assert!(sent_on < 0.2, "{sent_on}");
 }
 
-/// At three quarters of what the engines can read nothing is kept back for long.
+/// At three quarters of the engines' capacity, work windows must not delay or refuse a noticeable
+/// share of requests.
 #[test]
 fn a_load_that_fits_is_served() {
     let capacity = 2 * SPEED * 1_000 / 2_000;
@@ -79,10 +82,10 @@
     assert!(share > 0.95, "{share}");
 }
 
-/// Requests of the first rank come without end. Those of the next rank get their part all the same.
+/// Requests of the first rank arrive without a pause. The next rank must still get its share.
 #[test]
 fn a_rank_without_end_leaves_the_next_one_its_part() {
-    let mut queue = TurnQueue::default();
+    let mut queue = WeightedFairQueue::default();
     let mut served = [0_u32; 2];
     for number in 0..1_000 {
         queue.push(number * 2, 0, 2_000);
@@ -96,12 +99,12 @@
 
 #[test]
 fn a_queue_is_bounded_and_forgets_who_gives_up() {
-    let mut queue = TurnQueue::default();
+    let mut queue = WeightedFairQueue::default();
     let taken = (0..2_000)
         .filter(|number| queue.push(*number, 0, 1))
         .count();
-    assert_eq!(taken, TurnQueue::LONGEST);
+    assert_eq!(taken, WeightedFairQueue::MAX_WAITING);
     queue.remove(0);
-    assert_eq!(queue.first(), Some((1, 1)));
+    assert_eq!(queue.peek(), Some((1, 1)));
     assert_eq!(queue.pop(), Some(1));
 }
--- a/crates/ebonystand-core/tests/gateway/main.rs
+++ b/crates/ebonystand-core/tests/gateway/main.rs
@@ -1,4 +1,5 @@
-//! Serving by routes: what is put in force, where a request goes, and what its caller is told.
+//! Request routing of the gateway: which configuration is accepted, where a request goes and what
+//! its caller is told.
 
 mod caches;
 mod configuration;
@@ -16,7 +17,7 @@
     },
 };
 
-/// Engines that hand over a token in 0.3 µs.
+/// Engines that transfer a cached token to another engine in 0.3 µs.
 pub(crate) const ENGINE: EngineTerms = EngineTerms {
     cache_tokens: 400_000,
     event_tokens: 10,
@@ -32,7 +33,7 @@
     names.iter().map(|name| Box::from(*name)).collect()
 }
 
-/// A route of host `h` that sends all to service `s`.
+/// Route of host `h` that sends all requests to service `s`.
 pub(crate) fn route(name: &str, prefix: &str) -> GatewayRoute {
     GatewayRoute {
         aim_ms: 800,
@@ -47,7 +48,7 @@
         public: false,
         rank: 0,
         resumable: false,
-        split: vec![SplitPart {
+        split: vec![WeightedService {
             service: "s".into(),
             weight: 1,
         }],
@@ -72,7 +73,7 @@
 
 pub(crate) fn service(name: &str) -> GatewayService {
     GatewayService {
-        cold: ColdTerms {
+        cold: ColdStartLimits {
             per_s: 2.4,
             span_ms: 3_000,
         },
@@ -105,7 +106,7 @@
     }
 }
 
-/// Live VMs of zone `a-1`.
+/// Live VMs with these names, all in zone `a-1`.
 pub(crate) fn region_vms(vms: impl IntoIterator<Item = String>) -> Vec<RegionVm> {
     let vms = vms.into_iter();
     let vms = vms.map(|vm| RegionVm {
@@ -116,7 +117,7 @@
     vms.collect()
 }
 
-/// Book of a VM in region `a`; zone `a-1` stands in region `a`, `b-1` in region `b`.
+/// Book of a VM in region `a`; zones `a-1` and `a-2` belong to region `a`, `b-1` to region `b`.
 pub(crate) fn book(upstreams: Vec<ListedUpstream>) -> UpstreamBook {
     book_of("vm", upstreams)
 }
@@ -129,7 +130,7 @@
         zone: "a-1".into(),
     };
     let mut book = UpstreamBook::new(vm.into(), place, BTreeMap::from(zones));
-    book.list(ms(0), upstreams);
+    book.update_list(ms(0), upstreams);
     book
 }
 
@@ -143,15 +144,15 @@
     }
 }
 
-/// A region in which an answer begins after so many milliseconds.
-pub(crate) fn first_byte(n: u64) -> Pressure {
-    Pressure {
+/// Latency of a region whose answers begin after `n` milliseconds.
+pub(crate) fn first_byte(n: u64) -> ServiceLatency {
+    ServiceLatency {
         event_gap: Duration::ZERO,
         first_byte: ms(n),
     }
 }
 
-/// Sets that a query borrows.
+/// Owner of the sets that a [`ChoiceQuery`] borrows.
 #[derive(Default)]
 pub(crate) struct Sets {
     pub(crate) evacuated: BTreeSet<Box<str>>,
@@ -163,13 +164,13 @@
 impl Sets {
     pub(crate) fn query<'a>(&'a self, prompt: Option<&'a Prompt>) -> ChoiceQuery<'a> {
         ChoiceQuery {
-            aim: ms(800),
+            first_byte_target: ms(800),
             cold: service("s").cold,
             engine: Some(ENGINE),
             evacuated: &self.evacuated,
             excluded: &self.excluded,
             homes: self.homes.as_ref(),
-            left: ms(3_000),
+            remaining_time: ms(3_000),
             prompt,
             reachable: &self.reachable,
             service: "s",
@@ -177,10 +178,10 @@
     }
 }
 
-/// The instance that a request is sent to here.
-pub(crate) fn instance(choice: &Choice) -> Option<&str> {
+/// Returns the upstream of the own region that the choice sends the request to, if any.
+pub(crate) fn instance(choice: &TargetChoice) -> Option<&str> {
     match choice {
-        Choice::Here { instance, .. } => Some(instance),
+        TargetChoice::Upstream { instance, .. } => Some(instance),
         _ => None,
     }
 }
--- a/crates/ebonystand-core/tests/gateway/next_step.rs
+++ b/crates/ebonystand-core/tests/gateway/next_step.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt that gave its caller nothing.
+//! Retry decisions after an attempt that delivered nothing to its caller.
 
 use {super::*, rstest::rstest};
 
@@ -8,7 +8,7 @@
     AttemptEnd::Failed,
     AttemptEnd::Lost,
     AttemptEnd::Shed,
-    AttemptEnd::Stranger,
+    AttemptEnd::AddressReused,
     AttemptEnd::TimedOut,
     AttemptEnd::Unreachable,
 ];
@@ -22,9 +22,9 @@
     }
 }
 
-/// Every course of up to three attempts of a call that must not run twice, whatever the budget. After
-/// an attempt that may have run nothing is sent any more, and `not run` is told only where every
-/// upstream said so or nothing was sent.
+/// Enumerates every sequence of up to three attempts of a call that must not run twice, with an
+/// unlimited retry budget. Nothing may be sent after an attempt that may have run, and the caller
+/// may be told `not run` only if every upstream said so or nothing was sent.
 #[rstest]
 #[case::once(CallKind::Once)]
 #[case::stream(CallKind::Stream)]
@@ -40,10 +40,10 @@
             let mut not_run = true;
             let mut sent = 0;
             for (n, end) in course.iter().enumerate() {
-                sent += u32::from(end.was_sent());
-                not_run &= end.not_run();
-                let step = NextStep::after(&route, *end, sent, not_run, || true);
-                let all = course[..=n].iter().all(|end| end.not_run());
+                sent += u32::from(end.can_have_reached_upstream());
+                not_run &= end.is_known_not_run();
+                let step = NextStep::decide(&route, *end, sent, not_run, || true);
+                let all = course[..=n].iter().all(|end| end.is_known_not_run());
                 match step {
                     NextStep::Retry => assert!(all, "{course:?}"),
                     NextStep::GiveUp { run } => {
@@ -75,29 +75,31 @@
     #[case] retried: bool,
 ) {
     let route = kind(call, resumable, 2);
-    let step = |tried, budget| NextStep::after(&route, end, tried, end.not_run(), || budget);
+    let step =
+        |tried, budget| NextStep::decide(&route, end, tried, end.is_known_not_run(), || budget);
     assert_eq!(step(1, true) == NextStep::Retry, retried);
     assert_ne!(step(2, true), NextStep::Retry, "no attempt is left");
     assert_ne!(step(1, false), NextStep::Retry, "no budget is left");
 }
 
-/// Half of the upstreams cannot be connected to, or another server has their address. No server of the
-/// service had the request, so they use up no attempt; each try costs budget all the same.
+/// Half of the upstreams cannot be connected to, or another server answers at their addresses. No
+/// server of the service received the request, so these tries must not count as attempts, but each
+/// of them still takes from the retry budget.
 #[test]
 fn an_upstream_that_was_not_reached_is_no_attempt() {
     let route = kind(CallKind::Once, false, 1);
-    for end in [AttemptEnd::Unreachable, AttemptEnd::Stranger] {
+    for end in [AttemptEnd::Unreachable, AttemptEnd::AddressReused] {
         assert_eq!(
-            NextStep::after(&route, end, 0, true, || true),
+            NextStep::decide(&route, end, 0, true, || true),
             NextStep::Retry
         );
         assert_ne!(
-            NextStep::after(&route, end, 0, true, || false),
+            NextStep::decide(&route, end, 0, true, || false),
             NextStep::Retry
         );
     }
     assert_ne!(
-        NextStep::after(&route, AttemptEnd::Shed, 1, true, || true),
+        NextStep::decide(&route, AttemptEnd::Shed, 1, true, || true),
         NextStep::Retry
     );
 }
--- a/crates/ebonystand-core/tests/gateway/upstreams.rs
+++ b/crates/ebonystand-core/tests/gateway/upstreams.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to.
+//! Selection of the upstream or region for a request.
 
 use {super::*, rstest::rstest};
 
@@ -11,24 +11,24 @@
 }
 
 fn send(book: &mut UpstreamBook, now: Duration, query: &ChoiceQuery) -> Option<Box<str>> {
-    let choice = book.choose(now, query);
-    let Choice::Here {
+    let choice = book.choose_target(now, query);
+    let TargetChoice::Upstream {
         instance, unread, ..
     } = choice
     else {
         return None;
     };
-    book.sent(now, query, &instance, unread);
+    book.record_sent(now, query, &instance, unread);
     Some(instance)
 }
 
-/// Another VM of the region tells the book what it has under way.
+/// Delivers a load message in which another VM of the region reports its requests in flight.
 fn tell(book: &mut UpstreamBook, now: Duration, vm: &str, upstream: &str, under_way: UnderWay) {
     let message = LoadMessage::Group {
         cached: Vec::new(),
         under_way: vec![(upstream.into(), under_way)],
     };
-    book.load_told(now, &vm.into(), message);
+    book.receive_load_message(now, &vm.into(), message);
 }
 
 #[rstest]
@@ -57,13 +57,13 @@
     let book = book(all);
     for own in 0..50 {
         let prompt = prompt(own % 7, own);
-        let choice = book.choose(ms(0), &sets.query(Some(&prompt)));
+        let choice = book.choose_target(ms(0), &sets.query(Some(&prompt)));
         assert_eq!(instance(&choice), wanted);
     }
 }
 
-/// Two VMs that have not exchanged a word are asked for prompts with the same shared part. Both send
-/// them to the same engine, which reads the part once.
+/// Two VMs that have not exchanged any message get prompts with the same shared part. Both must
+/// send them to the same engine, so that the part is read only once.
 #[test]
 fn vms_agree_without_a_message_where_a_shared_part_is_kept() {
     let sets = Sets::default();
@@ -71,16 +71,16 @@
     let mut used = BTreeSet::new();
     for shared in 0..40 {
         let (first, second) = (prompt(shared, 100), prompt(shared, 200));
-        let first = one.choose(ms(0), &sets.query(Some(&first)));
-        let second = other.choose(ms(0), &sets.query(Some(&second)));
+        let first = one.choose_target(ms(0), &sets.query(Some(&first)));
+        let second = other.choose_target(ms(0), &sets.query(Some(&second)));
         assert_eq!(instance(&first), instance(&second));
         used.extend(instance(&first).map(str::to_owned));
     }
     assert_eq!(used.len(), 3, "the parts are spread");
 }
 
-/// All prompts share one part. Its engine is loaded by them, and they spread before the others stand
-/// idle.
+/// All prompts share one part. The engine that owns the part is loaded by them, and they must
+/// spread before the other engines are left idle.
 #[test]
 fn a_part_that_all_share_does_not_load_one_engine_alone() {
     let sets = Sets::default();
@@ -96,9 +96,10 @@
     assert_eq!(counts.len(), 3, "{counts:?}");
 }
 
-/// An upstream comes back cold behind a cut, and each VM of its region knows by itself only. All of
-/// them send as much as they may. However they are timed, any second of theirs together has no more
-/// than the upstream bears: also where there are many more VMs than it bears requests in a second.
+/// An upstream restarts cold while the VMs of its region are partitioned from one another. Each of
+/// them sends as much as it may. In any second, however their requests are timed, they must
+/// together send no more than the upstream tolerates, even if there are many more VMs than the
+/// requests that it tolerates per second.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -119,7 +120,7 @@
             let now = ms(at + u64::from(vm) * 3);
             let sends = send(&mut book, now, &sets.query(None));
             if sends.is_some() {
-                book.ended(now, "u1", AttemptEnd::Answered, ms(5));
+                book.record_attempt_end(now, "u1", AttemptEnd::Answered, ms(5));
                 sent.push(now);
             }
         }
@@ -137,7 +138,8 @@
     assert!(sent.len() >= 8, "and it is not starved: {}", sent.len());
 }
 
-/// A zone's upstreams may have become cold while it was evacuated, and the list does not say so yet.
+/// Upstreams of a zone may have become cold during its evacuation before the list shows it. Sent at
+/// full rate, they would be overloaded.
 #[test]
 fn upstreams_of_a_zone_that_is_back_count_as_cold_at_first() {
     let sets = Sets::default();
@@ -146,36 +148,36 @@
         let sends = (0..10).filter(|n| {
             let now = ms(from + n);
             let sends = send(book, now, &sets.query(None)).is_some();
-            book.ended(now, "u1", AttemptEnd::Answered, ms(1));
+            book.record_attempt_end(now, "u1", AttemptEnd::Answered, ms(1));
             sends
         });
         sends.count()
     };
     assert_eq!(count(&mut book, 5_000), 10);
-    book.zone_is_back(ms(6_000), "a-1");
+    book.record_zone_return(ms(6_000), "a-1");
     assert_eq!(count(&mut book, 6_000), 1);
     assert_eq!(count(&mut book, 9_000), 10);
 }
 
-/// An upstream cannot be connected to. It is passed over for a time that doubles; when it is the only
-/// one left it is tried all the same.
+/// An upstream cannot be connected to. It must be passed over for a time that doubles, but if it is
+/// the only one left it must be tried all the same.
 #[test]
 fn an_upstream_that_cannot_be_reached_is_passed_over_but_not_given_up() {
     let sets = Sets::default();
     let mut two = book(vec![listed("u1", "a-1", 1), listed("u2", "a-1", 2)]);
-    two.ended(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
+    two.record_attempt_end(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
     let chosen = |book: &UpstreamBook, now| {
-        let choice = book.choose(now, &sets.query(None));
+        let choice = book.choose_target(now, &sets.query(None));
         instance(&choice).map(str::to_owned)
     };
     assert_eq!(chosen(&two, ms(10)).as_deref(), Some("u2"));
     let mut one = book(vec![listed("u1", "a-1", 1)]);
-    one.ended(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
+    one.record_attempt_end(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
     assert_eq!(chosen(&one, ms(10)).as_deref(), Some("u1"));
 }
 
-/// Every upstream fails nearly half of its requests. None of them may be passed over for it: the
-/// others are no better, and all traffic would leave the region.
+/// Every upstream fails nearly half of its requests. None may be passed over for that: the others
+/// are no better, and all traffic would leave the region.
 #[test]
 fn upstreams_that_fail_part_of_their_requests_go_on_being_used() {
     let sets = Sets::default();
@@ -187,12 +189,12 @@
             0 => AttemptEnd::Failed,
             _ => AttemptEnd::Answered,
         };
-        book.ended(ms(n * 10 + 5), &sent, end, ms(5));
+        book.record_attempt_end(ms(n * 10 + 5), &sent, end, ms(5));
     }
 }
 
-/// One upstream fails most of its requests while its health check is good; the sounder one gets the
-/// requests.
+/// One upstream fails most of its requests although its health check passes. The other one must get
+/// the requests.
 #[test]
 fn a_sounder_upstream_goes_first() {
     let sets = Sets::default();
@@ -204,14 +206,14 @@
             "u1" => AttemptEnd::Failed,
             _ => AttemptEnd::Answered,
         };
-        book.ended(ms(n * 10 + 5), &sent, end, ms(5));
+        book.record_attempt_end(ms(n * 10 + 5), &sent, end, ms(5));
         *counts.entry(sent).or_default() += 1;
     }
     assert!(counts["u2"] > 10 * counts["u1"], "{counts:?}");
 }
 
-/// The region has no room: the request goes where another region told that it has. Where its homes
-/// forbid that, or the request was forwarded already, it waits.
+/// The region has no room. The request must go to another region that reported room, unless its
+/// homes forbid that or it was already forwarded; then it waits.
 #[rstest]
 #[case::allowed(None, true, true)]
 #[case::home(Some("b"), true, true)]
@@ -230,13 +232,18 @@
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "b-1", 2)]);
     let crowd = prompt(7, 1);
     while send(&mut book, ms(0), &sets.query(Some(&crowd))).is_some() {}
-    book.told(ms(0), &"b".into(), vec![("s".into(), first_byte(10))]);
-    let choice = book.choose(ms(1), &sets.query(Some(&crowd)));
-    assert_eq!(matches!(choice, Choice::Away { .. }), away, "{choice:?}");
+    book.receive_region_latencies(ms(0), &"b".into(), vec![("s".into(), first_byte(10))]);
+    let choice = book.choose_target(ms(1), &sets.query(Some(&crowd)));
+    assert_eq!(
+        matches!(choice, TargetChoice::OtherRegion { .. }),
+        away,
+        "{choice:?}"
+    );
 }
 
-/// Guards against streams that begin at once and are cut off at their deadline: engines of a region at its
-/// peak read prompts all the time and hardly come to give tokens, while those of another one stand idle.
+/// A stream may begin at once and still be cut off at its deadline: at peak load, the engines of a
+/// region read prompts all the time and rarely generate tokens, while those of another region are
+/// idle.
 #[rstest]
 #[case::long_stream(600, 400, 40, true)]
 #[case::short_stream(20, 400, 40, false)]
@@ -258,32 +265,36 @@
         ..prompt(7, 1)
     };
     let query = ChoiceQuery {
-        left: ms(12_000),
+        remaining_time: ms(12_000),
         ..sets.query(Some(&prompt))
     };
     for event in 0..20 {
-        book.stream_event(ms(event * 10), "u1", ms(here_ms));
+        book.record_stream_event(ms(event * 10), "u1", ms(here_ms));
     }
-    let told = Pressure {
+    let told = ServiceLatency {
         event_gap: ms(there_ms),
         first_byte: ms(50),
     };
-    book.told(ms(200), &"b".into(), vec![("s".into(), told)]);
-    let choice = book.choose(ms(210), &query);
-    assert_eq!(matches!(choice, Choice::Away { .. }), away, "{choice:?}");
+    book.receive_region_latencies(ms(200), &"b".into(), vec![("s".into(), told)]);
+    let choice = book.choose_target(ms(210), &query);
+    assert_eq!(
+        matches!(choice, TargetChoice::OtherRegion { .. }),
+        away,
+        "{choice:?}"
+    );
 }
 
 #[test]
 fn nobody_who_can_serve_gives_a_time_to_come_back() {
-    let choice = book(Vec::new()).choose(ms(0), &Sets::default().query(None));
-    let Choice::Nowhere { retry_after, .. } = choice else {
+    let choice = book(Vec::new()).choose_target(ms(0), &Sets::default().query(None));
+    let TargetChoice::Unavailable { retry_after, .. } = choice else {
         panic!("{choice:?}");
     };
     assert!(retry_after > ms(100) && retry_after <= ms(2_000));
 }
 
-/// The region's only server is down, and another region's runs. The request goes there; only where it
-/// may not, the server that is down is tried, since it may be back.
+/// The region's only server is down while another region's is up. The request must go there; only a
+/// request that may not leave tries the server that is down, which may have recovered.
 #[rstest]
 #[case::may_leave(true)]
 #[case::must_stay(false)]
@@ -293,38 +304,46 @@
         ..Sets::default()
     };
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "b-1", 2)]);
-    book.ended(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
-    let choice = book.choose(ms(10), &sets.query(None));
+    book.record_attempt_end(ms(0), "u1", AttemptEnd::Unreachable, ms(1));
+    let choice = book.choose_target(ms(10), &sets.query(None));
     match may_leave {
-        true => assert!(matches!(choice, Choice::Away { .. }), "{choice:?}"),
+        true => assert!(
+            matches!(choice, TargetChoice::OtherRegion { .. }),
+            "{choice:?}"
+        ),
         false => assert_eq!(instance(&choice), Some("u1")),
     }
 }
 
-/// A server is gone and another one has its address, while the list still names the first. Each
-/// request that expects it is refused there, so it is not tried again until the list names it anew.
+/// A server is gone and another one has its address, while the list still names the first. The new
+/// server refuses each request meant for the old one, so the address must not be tried again until
+/// the list changes.
 #[test]
 fn a_server_whose_address_another_one_has_is_not_tried_again() {
     let sets = Sets::default();
     let mut book = book(vec![listed("u1", "a-1", 1)]);
-    book.ended(ms(0), "u1", AttemptEnd::Stranger, ms(1));
-    let choice = book.choose(ms(60_000), &sets.query(None));
-    assert!(matches!(choice, Choice::Nowhere { .. }), "{choice:?}");
-    book.list(ms(60_000), vec![listed("u1", "a-1", 9)]);
-    let choice = book.choose(ms(70_000), &sets.query(None));
+    book.record_attempt_end(ms(0), "u1", AttemptEnd::AddressReused, ms(1));
+    let choice = book.choose_target(ms(60_000), &sets.query(None));
+    assert!(
+        matches!(choice, TargetChoice::Unavailable { .. }),
+        "{choice:?}"
+    );
+    book.update_list(ms(60_000), vec![listed("u1", "a-1", 9)]);
+    let choice = book.choose_target(ms(70_000), &sets.query(None));
     assert_eq!(instance(&choice), Some("u1"));
 }
 
-/// Ten VMs send to the same engines, and each prompt costs an engine as much wherever it comes from. A VM
-/// that only knows what it sent itself meets the others at the engine that all of them hold for idle;
-/// told by them, it goes to the other one. What a VM that is gone had under way counts no more.
+/// Ten VMs send to the same engines, and a prompt costs an engine the same whichever VM it comes
+/// from. VMs that know only their own requests would all choose the engine that looks idle to each
+/// of them; with the others' reports, a VM chooses the other engine. Reports of a VM that is gone
+/// must expire.
 #[test]
 fn vms_that_tell_what_they_have_under_way_do_not_meet_at_one_engine() {
     let sets = Sets::default();
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "a-1", 2)]);
     let prompt = prompt(7, 1);
     let chosen = |book: &UpstreamBook, now| {
-        let choice = book.choose(now, &sets.query(Some(&prompt)));
+        let choice = book.choose_target(now, &sets.query(Some(&prompt)));
         instance(&choice).map(str::to_owned)
     };
     let first = chosen(&book, ms(0)).expect("an engine");
@@ -336,13 +355,13 @@
         tell(&mut book, ms(0), &format!("vm{vm}"), &first, under_way);
     }
     assert_ne!(chosen(&book, ms(10)), Some(first.clone()));
-    book.load_messages(ms(2_000));
+    book.build_load_messages(ms(2_000));
     assert_eq!(chosen(&book, ms(2_000)), Some(first));
 }
 
-/// A VM tells another region how long a prompt waits there. The engine's streams run for seconds, yet
-/// a prompt that comes now begins at once: told the time of whole answers, the other region would
-/// keep its own callers waiting beside idle engines.
+/// A VM reports to another region how long a prompt waits there. The engine's streams last for
+/// seconds, yet a new prompt begins at once: if the duration of whole answers were reported, the
+/// other region would keep its own callers waiting beside idle engines.
 #[test]
 fn another_region_is_told_how_long_a_prompt_waits_and_not_how_long_answers_take() {
     let sets = Sets::default();
@@ -351,22 +370,22 @@
     for n in 0..20 {
         let sent = send(&mut book, ms(n * 4_000), &sets.query(Some(&prompt))).expect("an engine");
         let (aim, waited) = (ms(800), Some(ms(100)));
-        book.first_byte(ms(n * 4_000 + 100), &sent, 6_500, aim, waited);
-        book.ended(
+        book.record_first_byte(ms(n * 4_000 + 100), &sent, 6_500, aim, waited);
+        book.record_attempt_end(
             ms(n * 4_000 + 3_900),
             &sent,
             AttemptEnd::Answered,
             ms(3_900),
         );
     }
-    let told = book.pressures(ms(90_000), &sets.evacuated, |service| service == "s");
+    let told = book.predict_latencies(ms(90_000), &sets.evacuated, |service| service == "s");
     assert_eq!(told.len(), 1);
     assert!(told[0].1.first_byte < ms(100), "{told:?}");
 }
 
-/// Both regions are full. A request that is sent to the other one all the same is refused there and comes back
-/// a round trip later, with less time than before; so after one refusal, or where the other region has told
-/// that it is full, requests wait at home until it tells of room.
+/// Both regions are full. A request sent to the other one would be refused there and return a round
+/// trip later with less time left. After one refusal, or a report that the other region is full,
+/// requests must wait at home until it reports room.
 #[rstest]
 #[case::it_refused_one(true)]
 #[case::it_told(false)]
@@ -378,29 +397,32 @@
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "b-1", 2)]);
     let crowd = prompt(7, 1);
     while send(&mut book, ms(0), &sets.query(Some(&crowd))).is_some() {}
-    // The wait at home is longer than the way there, so that only its being full speaks against it.
+    // The wait at home exceeds the round trip, so only the lack of room in the other region can
+    // keep the request here.
     let under_way = UnderWay {
         requests: 3,
         unread: 40_000,
     };
     tell(&mut book, ms(0), "vm1", "u1", under_way);
     let away = |book: &UpstreamBook, now| {
-        let choice = book.choose(now, &sets.query(Some(&crowd)));
-        matches!(choice, Choice::Away { .. })
+        let choice = book.choose_target(now, &sets.query(Some(&crowd)));
+        matches!(choice, TargetChoice::OtherRegion { .. })
     };
     assert!(away(&book, ms(1)), "nothing is known of it yet");
     match refused {
-        true => book.refused_away(ms(1), &"b".into(), "s"),
-        false => book.told(ms(1), &"b".into(), vec![("s".into(), first_byte(1_200))]),
+        true => book.record_region_refusal(ms(1), &"b".into(), "s"),
+        false => {
+            book.receive_region_latencies(ms(1), &"b".into(), vec![("s".into(), first_byte(1_200))])
+        }
     }
     assert!(!away(&book, ms(2)));
-    book.told(ms(250), &"b".into(), vec![("s".into(), first_byte(20))]);
+    book.receive_region_latencies(ms(250), &"b".into(), vec![("s".into(), first_byte(20))]);
     assert!(away(&book, ms(251)));
 }
 
-/// The zone of a region is evacuated at its peak, and the other region has no room at this moment. Its callers wait,
-/// as those of the other region do; refused at once, they would come back all together a second later
-/// to find the others ahead of them again. Where no region may serve them, waiting is of no use.
+/// The zone of a region is evacuated at peak load while the other region has no room. Callers must
+/// wait, as those of the other region do; refused at once, they would all retry together a second
+/// later and find the others ahead of them again. If no region may serve them, waiting is useless.
 #[rstest]
 #[case::full(true, true)]
 #[case::unreachable(false, false)]
@@ -415,20 +437,24 @@
     };
     let mut book = book(vec![listed("u1", "a-1", 1), listed("u2", "b-1", 2)]);
     let prompt = prompt(7, 1);
-    book.refused_away(ms(0), &"b".into(), "s");
-    let choice = book.choose(ms(10), &sets.query(Some(&prompt)));
-    let found = matches!(choice, Choice::Full { .. });
+    book.record_region_refusal(ms(0), &"b".into(), "s");
+    let choice = book.choose_target(ms(10), &sets.query(Some(&prompt)));
+    let found = matches!(choice, TargetChoice::NoRoom { .. });
     assert_eq!(found, waits, "{choice:?}");
-    // Told of room, it goes.
-    book.told(ms(100), &"b".into(), vec![("s".into(), first_byte(20))]);
+    // Once the other region reports room, the request is sent there.
+    book.receive_region_latencies(ms(100), &"b".into(), vec![("s".into(), first_byte(20))]);
     assert!(book.has_room(ms(110), "s", true, 6_500));
-    let choice = book.choose(ms(110), &sets.query(Some(&prompt)));
-    assert_eq!(matches!(choice, Choice::Away { .. }), waits, "{choice:?}");
+    let choice = book.choose_target(ms(110), &sets.query(Some(&prompt)));
+    assert_eq!(
+        matches!(choice, TargetChoice::OtherRegion { .. }),
+        waits,
+        "{choice:?}"
+    );
 }
 
-/// A workspace is bound to a region that is cut off. An upstream here is idle, but may not serve it; when the cut
-/// ends nobody knows. Its callers are asked to stay away for as long as anybody is, not to come back at
-/// once to be refused again.
+/// A workspace is bound to a region that cannot be reached, and the upstream here is idle but may
+/// not serve it. Nobody knows when the partition ends, so callers must be told the longest retry
+/// time instead of returning at once to be refused again.
 #[test]
 fn callers_bound_to_a_region_that_cannot_be_reached_do_not_come_back_at_once() {
     let sets = Sets {
@@ -436,8 +462,8 @@
         ..Sets::default()
     };
     let book = book(vec![listed("u1", "a-1", 1), listed("u2", "b-1", 2)]);
-    let choice = book.choose(ms(0), &sets.query(None));
-    let Choice::Nowhere { retry_after, .. } = choice else {
+    let choice = book.choose_target(ms(0), &sets.query(None));
+    let TargetChoice::Unavailable { retry_after, .. } = choice else {
         panic!("{choice:?}");
     };
     assert_eq!(retry_after, ms(2_000));
--- a/crates/ebonystand/src/gateway/admitted.rs
+++ b/crates/ebonystand/src/gateway/admitted.rs
@@ -2,7 +2,7 @@
 use {
     allowance_controller::Reserved,
     call::{Call, Destination, Outcome},
-    ebonystand_core::{AttemptEnd, CallKind, Choice, GatewayRoute, NextStep},
+    ebonystand_core::{AttemptEnd, CallKind, GatewayRoute, NextStep, TargetChoice},
     in_flight::InFlight,
     node::Node,
     relay::Held,
@@ -35,8 +35,8 @@
             let choice = self.call.choose(node, &reachable);
             let wait = self.wait(left);
             let (outcome, instance) = match choice {
-                Choice::Nowhere {
-                    because,
+                TargetChoice::Unavailable {
+                    reason: because,
                     retry_after,
                 } => {
                     let message = format!(
@@ -48,7 +48,7 @@
                     let refusal = self.refusal(RefusalCode::NoUpstream, &message);
                     return Err(refusal.with_retry_after(retry_after));
                 }
-                Choice::Full { predicted } => {
+                TargetChoice::NoRoom { predicted } => {
                     if self.call.wait_for_room(node).await {
                         continue;
                     }
@@ -58,7 +58,7 @@
                     );
                     return Err(refusal.with_retry_after(self.come_back_after(node, predicted)));
                 }
-                Choice::Here {
+                TargetChoice::Upstream {
                     address,
                     candidates,
                     import,
@@ -89,8 +89,8 @@
                     let outcome = self.call.send_here(node, &to, wait).await;
                     (outcome, Some(to.instance))
                 }
-                Choice::Away {
-                    here,
+                TargetChoice::OtherRegion {
+                    local_cost: here,
                     predicted,
                     region,
                 } => {
@@ -114,7 +114,7 @@
                         if retry_after.is_some() {
                             let now = node.clock.now();
                             let mut book = node.gateway.book.borrow_mut();
-                            book.refused_away(now, &region, &self.call.service);
+                            book.record_region_refusal(now, &region, &self.call.service);
                         }
                         self.call.full_regions.insert(region);
                     }
@@ -211,8 +211,8 @@
         instance: Option<UpstreamId>,
     ) -> Result<Option<Response<BoxBody>>, Refusal> {
         let now = node.clock.now();
-        self.tried += u32::from(end.is_attempt());
-        self.not_run &= end.not_run();
+        self.tried += u32::from(end.is_counted_attempt());
+        self.not_run &= end.is_known_not_run();
         if self.not_run
             && let Some(reserved) = &mut self.reserved
         {
@@ -220,7 +220,7 @@
         }
         self.call.excluded.extend(instance);
         let budget = || node.gateway.may_retry(now, &self.call.service, end);
-        let step = NextStep::after(&self.route, end, self.tried, self.not_run, budget);
+        let step = NextStep::decide(&self.route, end, self.tried, self.not_run, budget);
         log::info!(
             request:% = self.call.request, end:? = end, tried = self.tried,
             attempts = self.route.attempts, not_run = self.not_run, step:? = step;
@@ -260,7 +260,7 @@
     /// Time to wait for the first bytes. Where the request can be tried once more, half of what is
     /// left: a silent upstream then costs half of the time and not the answer.
     fn wait(&self, left: Duration) -> Duration {
-        let has_tries = self.route.repeatable() && self.tried + 1 < self.route.attempts;
+        let has_tries = self.route.is_repeatable() && self.tried + 1 < self.route.attempts;
         match has_tries {
             true => (left / 2).max(self.call.aim).min(left),
             false => left,
--- a/crates/ebonystand/src/gateway/attempt.rs
+++ b/crates/ebonystand/src/gateway/attempt.rs
@@ -31,12 +31,12 @@
     ) -> Self {
         let started = node.clock.now();
         let mut book = node.gateway.book.borrow_mut();
-        book.sent(started, query, instance, unread);
+        book.record_sent(started, query, instance, unread);
         let prompt = query.prompt;
         let prefixes = prompt.map(SharedPrefix::of);
         let prefixes = prefixes.unwrap_or_default();
         Self {
-            aim: query.aim,
+            aim: query.first_byte_target,
             ended: false,
             first_byte: None,
             last_event: None,
@@ -56,8 +56,8 @@
             self.first_byte = Some(waited);
             let now = self.node.clock.now();
             let mut book = self.node.gateway.book.borrow_mut();
-            book.first_byte(now, &self.instance, self.unread, self.aim, Some(waited));
-            book.keeps(now, &self.instance, &self.prefixes, self.homes.as_ref());
+            book.record_first_byte(now, &self.instance, self.unread, self.aim, Some(waited));
+            book.record_cached_prefixes(now, &self.instance, &self.prefixes, self.homes.as_ref());
             drop(book);
             Turns::advance(&self.node);
         }
@@ -68,7 +68,7 @@
         let now = self.node.clock.now();
         if let Some(last) = self.last_event.replace(now) {
             let mut book = self.node.gateway.book.borrow_mut();
-            book.stream_event(now, &self.instance, now.saturating_sub(last));
+            book.record_stream_event(now, &self.instance, now.saturating_sub(last));
         }
     }
 
@@ -88,10 +88,10 @@
         let now = self.node.clock.now();
         let mut book = self.node.gateway.book.borrow_mut();
         if self.first_byte.is_none() {
-            book.first_byte(now, &self.instance, self.unread, self.aim, None);
+            book.record_first_byte(now, &self.instance, self.unread, self.aim, None);
         }
         let waited = now.saturating_sub(self.started);
-        book.ended(now, &self.instance, end, waited);
+        book.record_attempt_end(now, &self.instance, end, waited);
         drop(book);
         Turns::advance(&self.node);
     }
--- a/crates/ebonystand/src/gateway/call.rs
+++ b/crates/ebonystand/src/gateway/call.rs
@@ -1,7 +1,9 @@
 use super::*;
 use {
     attempt::Attempt,
-    ebonystand_core::{AttemptEnd, CacheSource, Choice, ChoiceQuery, ColdTerms, Prompt},
+    ebonystand_core::{
+        AttemptEnd, CacheSource, ChoiceQuery, ColdStartLimits, Prompt, TargetChoice,
+    },
     node::Node,
     relay::Relay,
     std::collections::BTreeSet,
@@ -104,11 +106,11 @@
     }
 
     /// Chooses where it goes.
-    pub(crate) fn choose(&self, node: &Node, reachable: &BTreeSet<RegionId>) -> Choice {
+    pub(crate) fn choose(&self, node: &Node, reachable: &BTreeSet<RegionId>) -> TargetChoice {
         let now = node.clock.now();
         let document = node.document();
         let book = node.gateway.book.borrow();
-        book.choose(now, &self.query(node, &document, reachable))
+        book.choose_target(now, &self.query(node, &document, reachable))
     }
 
     pub(crate) fn query<'a>(
@@ -120,13 +122,13 @@
         let table = node.gateway.table();
         let service = table.service(&self.service);
         ChoiceQuery {
-            aim: self.aim,
-            cold: service.map_or_else(ColdTerms::default, |service| service.cold),
+            first_byte_target: self.aim,
+            cold: service.map_or_else(ColdStartLimits::default, |service| service.cold),
             engine: service.and_then(|service| service.engine),
             evacuated: &document.evacuated,
             excluded: &self.excluded,
             homes: self.homes.as_ref(),
-            left: self.left(node),
+            remaining_time: self.left(node),
             prompt: self.prompt.as_ref(),
             reachable,
             service: &self.service,
@@ -189,7 +191,7 @@
         let marks = node.gateway.dialect.answer(head.status, &head.headers);
         if let Some(slots) = marks.slots {
             let mut book = node.gateway.book.borrow_mut();
-            book.report(node.clock.now(), instance, slots);
+            book.record_reported_slots(node.clock.now(), instance, slots);
         }
         if let Some(end) = self.judge(head, &marks) {
             attempt.end(end);
@@ -285,7 +287,7 @@
             return Some(AttemptEnd::Lost);
         }
         if marks.is_stranger {
-            return Some(AttemptEnd::Stranger);
+            return Some(AttemptEnd::AddressReused);
         }
         if marks.not_run {
             return Some(AttemptEnd::Shed);
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -78,7 +78,7 @@
             log::warn!(without:% = without; "mechanisms are left out for an experiment");
         }
         Self {
-            book: RefCell::new(book.without(gateway.without.clone())),
+            book: RefCell::new(book.with_disabled_mechanisms(gateway.without.clone())),
             confirmation: RefCell::new(Confirmation::new(gateway.confirmed_for)),
             embedded: dialect.is_some(),
             dialect: dialect.unwrap_or_else(|| Rc::new(native_dialect::NativeDialect)),
@@ -108,7 +108,7 @@
             document.evacuated.clone(),
         );
         for zone in evacuated.difference(&document.evacuated) {
-            self.book.borrow_mut().zone_is_back(now, zone);
+            self.book.borrow_mut().record_zone_return(now, zone);
         }
         if self.table.borrow().routing().revision == document.routing.revision {
             return;
@@ -144,7 +144,9 @@
             self.leader_changed.notify_one();
         }
         let own = node.document().version;
-        self.confirmation.borrow_mut().answered(asked, version, own);
+        self.confirmation
+            .borrow_mut()
+            .record_answer(asked, version, own);
         if own >= version {
             AllowanceController::confirm(node, asked);
         }
@@ -178,7 +180,7 @@
 
     /// Whether another try may be made after an attempt that ended so.
     pub(crate) fn may_retry(&self, now: Duration, service: &str, end: AttemptEnd) -> bool {
-        let retryable = match end.was_sent() {
+        let retryable = match end.can_have_reached_upstream() {
             true => Retryable::Idempotent,
             false => Retryable::NotStarted,
         };
@@ -293,11 +295,11 @@
                 this.book.borrow_mut().set_vms(&vms.collect::<Vec<_>>());
                 known = live;
             }
-            let messages = this.book.borrow_mut().load_messages(now);
+            let messages = this.book.borrow_mut().build_load_messages(now);
             for (vm, message) in messages {
                 node.send(&vm, PeerMessage::Load(message));
             }
-            let every = this.book.borrow().tells_load_every();
+            let every = this.book.borrow().load_message_interval();
             actix_rt::time::sleep(every.mul_f64(this.jitter())).await;
         }
     }
@@ -360,7 +362,7 @@
     /// Tells one relay of each other region what engines keep; it tells the others there.
     fn tell_cached_away(node: &Rc<Node>) {
         let this = &node.gateway;
-        let cached = this.book.borrow_mut().caches_for_others();
+        let cached = this.book.borrow_mut().take_caches_for_regions();
         if cached.is_empty() {
             return;
         }
@@ -398,7 +400,9 @@
                     .service(name)
                     .is_some_and(|service| service.engine.is_some())
             };
-            this.book.borrow().pressures(now, &evacuated, is_engine)
+            this.book
+                .borrow()
+                .predict_latencies(now, &evacuated, is_engine)
         };
         let first_byte_and_gap_ms = pressures
             .into_iter()
--- a/crates/ebonystand/src/gateway/forward.rs
+++ b/crates/ebonystand/src/gateway/forward.rs
@@ -24,7 +24,7 @@
 
 pub(crate) fn ended_name(end: AttemptEnd) -> &'static str {
     match end {
-        AttemptEnd::Shed | AttemptEnd::Stranger => SHED,
+        AttemptEnd::Shed | AttemptEnd::AddressReused => SHED,
         AttemptEnd::Unreachable => NOT_SENT,
         AttemptEnd::TimedOut => TIMED_OUT,
         AttemptEnd::Failed => FAILED,
--- a/crates/ebonystand/src/gateway/gateway_handle.rs
+++ b/crates/ebonystand/src/gateway/gateway_handle.rs
@@ -1,6 +1,8 @@
 use super::*;
 use {
-    ebonystand_core::{Change, Command, CommandOutcome, EntryChoice, HolderPlan, Place, Routing},
+    ebonystand_core::{
+        Change, Command, CommandOutcome, EntryListSelector, HolderPlan, Place, Routing,
+    },
     group_controller::GroupController,
     node::Node,
     std::collections::BTreeSet,
@@ -24,12 +26,12 @@
         let table = self.node.gateway.table();
         let homes = table.homes_of_host(host);
         let live = self.node.membership.live(now);
-        let choice = EntryChoice {
+        let choice = EntryListSelector {
             caller,
-            draw: self.node.gateway.draw(),
+            random_seed: self.node.gateway.draw(),
             homes: &homes,
         };
-        choice.pick(live.iter().map(|entry| &entry.record))
+        choice.select_addresses(live.iter().map(|entry| &entry.record))
     }
 
     /// Stops or allows the sending of requests to the upstreams of a zone; returns once that is
@@ -152,11 +154,11 @@
         let with_log = with_log.collect::<Vec<_>>();
         let document = self.node.document();
         let plan = HolderPlan {
-            delay: self.node.settings.gateway.region_delay,
+            region_delay: self.node.settings.gateway.region_delay,
             live: &with_log,
-            present: &document.regions,
+            current: &document.regions,
             regions: &regions,
         };
-        plan.regions()
+        plan.plan_regions()
     }
 }
