--- a/crates/ebonystand/src/gateway/list_controller.rs
+++ b/crates/ebonystand/src/gateway/list_controller.rs
@@ -1,6 +1,6 @@
 use super::*;
 use {
-    ebonystand_core::{ListReader, ListedUpstream, UpstreamKind},
+    ebonystand_core::{ListReaderElection, ListedUpstream, UpstreamKind},
     node::Node,
     std::collections::BTreeSet,
     xxhash_rust::xxh3::xxh3_64,
@@ -10,7 +10,7 @@
 pub(crate) struct ListController {
     /// The list in force with its hash; none before the first one.
     listed: RefCell<Option<(u64, Vec<ListedUpstream>)>>,
-    reader: RefCell<ListReader>,
+    reader: RefCell<ListReaderElection>,
     source: Option<Rc<dyn UpstreamSource>>,
 }
 
@@ -22,7 +22,7 @@
     ) -> Self {
         Self {
             listed: RefCell::default(),
-            reader: RefCell::new(ListReader::new(every, now)),
+            reader: RefCell::new(ListReaderElection::new(every, now)),
             source,
         }
     }
@@ -42,7 +42,7 @@
         upstreams: Option<Vec<ListedUpstream>>,
     ) {
         let now = node.clock.now();
-        self.reader.borrow_mut().heard(now);
+        self.reader.borrow_mut().record_list_received(now);
         let is_known = self
             .listed
             .borrow()
@@ -77,7 +77,7 @@
         let digest = digest(&upstreams);
         let now = node.clock.now();
         let mut book = node.gateway.book.borrow_mut();
-        book.list(now, upstreams.clone());
+        book.update_list(now, upstreams.clone());
         let before = self.listed.replace(Some((digest, upstreams)));
         before.is_none_or(|(before, _)| before != digest)
     }
@@ -104,8 +104,8 @@
         loop {
             let now = node.clock.now();
             let readers = Self::readers(node);
-            let has_met = this.reader.borrow_mut().has_met(now, &readers);
-            if has_met || this.reader.borrow().is_silent(now) || this.is_known() {
+            let has_met = this.reader.borrow_mut().has_discovered_peers(now, &readers);
+            if has_met || this.reader.borrow().is_list_overdue(now) || this.is_known() {
                 return;
             }
             actix_rt::time::sleep(LOOK).await;
@@ -131,7 +131,10 @@
         loop {
             let readers = Self::readers(&node);
             let now = node.clock.now();
-            let reads = this.reader.borrow().reads(now, &node.settings.vm, &readers);
+            let reads = this
+                .reader
+                .borrow()
+                .is_reader(now, &node.settings.vm, &readers);
             if reads != reading {
                 log::info!(reads = reads; "reader of the list of upstreams");
                 reading = reads;
--- a/crates/ebonystand/src/gateway/receive_forward.rs
+++ b/crates/ebonystand/src/gateway/receive_forward.rs
@@ -3,7 +3,7 @@
 use super::*;
 use {
     call::{Call, Destination, Outcome},
-    ebonystand_core::{AttemptEnd, Choice, Mechanism},
+    ebonystand_core::{AttemptEnd, Mechanism, TargetChoice},
     ebonystand_wire::Forwarded,
     in_flight::InFlight,
     node::Node,
@@ -93,12 +93,16 @@
     };
     let none = BTreeSet::new();
     let mut choice = call.choose(node, &none);
-    let waits = node.gateway.book.borrow().uses(Mechanism::ForwardedWait);
-    while waits && matches!(choice, Choice::Full { .. }) && call.wait_for_room(node).await {
+    let waits = node
+        .gateway
+        .book
+        .borrow()
+        .is_enabled(Mechanism::ForwardedWait);
+    while waits && matches!(choice, TargetChoice::NoRoom { .. }) && call.wait_for_room(node).await {
         choice = call.choose(node, &none);
     }
     match choice {
-        Choice::Here {
+        TargetChoice::Upstream {
             address,
             import,
             instance,
@@ -123,9 +127,9 @@
             held(outcome, in_flight)
         }
         // Nothing was sent: the other VM may turn elsewhere.
-        Choice::Full { predicted } => no_room(predicted),
-        Choice::Nowhere { retry_after, .. } => no_room(retry_after),
-        Choice::Away { .. } => Outcome::ended(AttemptEnd::Unreachable),
+        TargetChoice::NoRoom { predicted } => no_room(predicted),
+        TargetChoice::Unavailable { retry_after, .. } => no_room(retry_after),
+        TargetChoice::OtherRegion { .. } => Outcome::ended(AttemptEnd::Unreachable),
     }
 }
 
--- a/crates/ebonystand/src/gateway/serve_call.rs
+++ b/crates/ebonystand/src/gateway/serve_call.rs
@@ -75,7 +75,7 @@
     unanswered.since = None;
     served.inspect_err(|refusal| {
         let table = node.gateway.table();
-        let route = table.find(&host, req.path()).map_or("none", |route| &route.name);
+        let route = table.find_route(&host, req.path()).map_or("none", |route| &route.name);
         let workspace = key.as_ref().and_then(|key| table.workspace(key));
         let workspace = workspace.map_or("none", |workspace| &workspace.name);
         log::info!(
@@ -136,12 +136,12 @@
     let longest = Duration::from_millis(route.timeout_ms);
     let tokens = workspace
         .as_ref()
-        .map_or(0, |w| w.cost(head.prompt.as_ref()));
+        .map_or(0, |w| w.quota_cost(head.prompt.as_ref()));
     let reserved = reserve(node, &route, workspace.as_ref(), tokens, head.deadline).await?;
-    let shared = head.prompt.as_ref().and_then(Prompt::shared);
+    let shared = head.prompt.as_ref().and_then(Prompt::placement_hash);
     let hash = shared.unwrap_or_else(|| node.gateway.draw());
     // A route without a weight is never put in force.
-    let service = route.service(hash).cloned().unwrap_or_default();
+    let service = route.select_service(hash).cloned().unwrap_or_default();
     node.gateway.on_request(arrived, &service);
     if let Some(workspace) = &workspace {
         let label = node.metrics.workspace(&workspace.name);
@@ -228,7 +228,7 @@
     path: &str,
 ) -> Result<(GatewayRoute, Option<GatewayWorkspace>), Refusal> {
     let confirmed = node.gateway.confirmed(node.clock.now());
-    let Some(route) = table.find(&head.host, path) else {
+    let Some(route) = table.find_route(&head.host, path) else {
         return Err(match confirmed {
             true => Refusal::not_run(RefusalCode::UnknownPath, "no route serves this path"),
             false => unconfirmed(),
--- a/crates/ebonystand/src/gateway/settings.rs
+++ b/crates/ebonystand/src/gateway/settings.rs
@@ -51,7 +51,7 @@
             list_every: millis(reader.ranged("list_every_ms", 1_000, 50, 600_000)),
             region_delay: millis(reader.ranged(
                 "region_delay_ms",
-                UpstreamBook::REGION_DELAY.as_millis() as u64,
+                UpstreamBook::DEFAULT_REGION_DELAY.as_millis() as u64,
                 0,
                 10_000,
             )),
--- a/crates/ebonystand/src/gateway/turns.rs
+++ b/crates/ebonystand/src/gateway/turns.rs
@@ -1,6 +1,6 @@
 use super::*;
 use {
-    ebonystand_core::TurnQueue,
+    ebonystand_core::WeightedFairQueue,
     node::Node,
     tokio::sync::oneshot::{Receiver, Sender, channel},
 };
@@ -10,7 +10,7 @@
 pub(crate) struct Turns {
     entered: tokio::sync::Notify,
     next: Cell<u64>,
-    queues: RefCell<FxHashMap<Box<str>, TurnQueue>>,
+    queues: RefCell<FxHashMap<Box<str>, WeightedFairQueue>>,
     waiting: RefCell<FxHashMap<u64, Waiting>>,
 }
 
@@ -60,7 +60,7 @@
         let now = node.clock.now();
         let mut queues = this.queues.borrow_mut();
         for (service, queue) in queues.iter_mut() {
-            let Some((number, work)) = queue.first() else {
+            let Some((number, work)) = queue.peek() else {
                 continue;
             };
             let mut waiting = this.waiting.borrow_mut();
--- a/crates/ebonystand/src/node.rs
+++ b/crates/ebonystand/src/node.rs
@@ -252,12 +252,15 @@
             PeerMessage::ListWanted => self.gateway.list.send(self, from),
             PeerMessage::Cached(cached) => {
                 let now = self.clock.now();
-                self.gateway.book.borrow_mut().caches_told(now, cached);
+                self.gateway
+                    .book
+                    .borrow_mut()
+                    .receive_region_caches(now, cached);
             }
             PeerMessage::Load(message) => {
                 let now = self.clock.now();
                 let mut book = self.gateway.book.borrow_mut();
-                book.load_told(now, from, message);
+                book.receive_load_message(now, from, message);
             }
             PeerMessage::Pressure {
                 first_byte_and_gap_ms,
@@ -265,7 +268,7 @@
             } => {
                 let pressures = first_byte_and_gap_ms.into_iter();
                 let pressures = pressures.map(|(service, first_byte_ms, event_gap_ms)| {
-                    let pressure = ebonystand_core::Pressure {
+                    let pressure = ebonystand_core::ServiceLatency {
                         event_gap: Duration::from_millis(event_gap_ms),
                         first_byte: Duration::from_millis(first_byte_ms),
                     };
@@ -273,7 +276,7 @@
                 });
                 let now = self.clock.now();
                 let mut book = self.gateway.book.borrow_mut();
-                book.told(now, &region, pressures.collect());
+                book.receive_region_latencies(now, &region, pressures.collect());
             }
             PeerMessage::Allowance(message) => AllowanceController::receive(self, from, message),
             PeerMessage::Feed(message) => {
--- a/crates/ebonystand/tests/integration/routes.rs
+++ b/crates/ebonystand/tests/integration/routes.rs
@@ -8,8 +8,9 @@
         vm::Vm,
     },
     ebonystand_core::{
-        CallKind, Change, ColdTerms, EngineTerms, GatewayRoute, GatewayService, GatewayWorkspace,
-        KeyHash, Quota, QuotaUnit, Region, Routing, Service, SplitPart, Upstream, UpstreamKind,
+        CallKind, Change, ColdStartLimits, EngineTerms, GatewayRoute, GatewayService,
+        GatewayWorkspace, KeyHash, Quota, QuotaUnit, Region, Routing, Service, Upstream,
+        UpstreamKind, WeightedService,
     },
     rstest::rstest,
     serde_json::json,
@@ -98,7 +99,7 @@
         public: false,
         rank: 0,
         resumable: false,
-        split: vec![SplitPart {
+        split: vec![WeightedService {
             service: "orders".into(),
             weight: 1,
         }],
@@ -120,7 +121,7 @@
         rank: None,
     };
     let service = GatewayService {
-        cold: ColdTerms::default(),
+        cold: ColdStartLimits::default(),
         connections: 100,
         engine: None,
         health_path: "/health".into(),
