--- a/crates/ebonystand-core/src/gateway/upstream_book.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_book.rs
@@ -145,7 +145,7 @@
             return;
         };
         if let Some(waited) = waited {
-            let others = self.exchange.at(known.key).unread;
+            let others = self.exchange.load_at(known.key).unread;
             known.measure_reading(known.work_window.used().max(unread) + others, waited);
             let target = first_byte_target * Self::START_TARGET_PERMILLE / 1_000;
             known
@@ -190,7 +190,11 @@
 
     /// Processes a load message of another VM of the region.
     pub fn receive_load_message(&mut self, now: Duration, from: &VmId, mut message: LoadMessage) {
-        if let LoadMessage::Region { pressures, .. } = &message {
+        if let LoadMessage::Region {
+            region_latencies: pressures,
+            ..
+        } = &message
+        {
             for reported in pressures {
                 let at = now.saturating_sub(Duration::from_millis(reported.age_ms));
                 let latency = ServiceLatency {
@@ -206,8 +210,8 @@
             false => Vec::new(),
         };
         if self.is_enabled(Mechanism::PeerLoads) {
-            self.exchange.receive(now, from, message);
-            self.exchange.pass_on(&fresh, news);
+            self.exchange.handle_message(now, from, message);
+            self.exchange.forward_cached(&fresh, news);
         }
     }
 
@@ -218,7 +222,7 @@
         let latencies = self.recent_region_latencies(now);
         let messages = self
             .exchange
-            .tick(now, self.under_way(), cached, &latencies);
+            .build_messages(now, self.under_way(), cached, &latencies);
         if !self.exchange.is_relay() {
             // Only the relay sends cached prefixes to the other regions.
             self.caches.take_for_others();
@@ -229,7 +233,7 @@
     /// Returns the time between two calls of [`Self::build_load_messages`].
     #[must_use]
     pub fn load_message_interval(&self) -> Duration {
-        self.exchange.every()
+        self.exchange.message_interval()
     }
 
     /// Returns the VMs that relay load messages in the region.
@@ -343,7 +347,7 @@
     fn under_way(&self) -> UpstreamLoads {
         let all = self.upstreams.values();
         let all = all.map(|known| (known.key, known.under_way()));
-        all.filter(|(_, under_way)| !under_way.is_none()).collect()
+        all.filter(|(_, under_way)| !under_way.is_idle()).collect()
     }
 
     /// Treats the upstreams of a zone as cold after its evacuation ends, since they may have cooled
@@ -458,7 +462,7 @@
 
     /// Returns the requests that the other VMs of the region have in flight at an upstream.
     pub(super) fn peer_load(&self, known: &KnownUpstream) -> UnderWay {
-        self.exchange.at(known.key)
+        self.exchange.load_at(known.key)
     }
 
     /// Returns whether an upstream is in the own region.
--- a/crates/ebonystand-core/src/gateway/upstream_choice.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_choice.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Upstream considered for a request, with the request's cost there.
-struct ScoredUpstream<'a> {
+struct UpstreamCandidate<'a> {
     /// Delay of the request plus what it costs other requests.
     cost: Duration,
     /// Predicted time to the first byte of the answer.
@@ -405,10 +405,10 @@
     }
 
     /// Scores an upstream for a call to a plain service.
-    fn score_call<'a>(&self, now: Duration, known: &'a KnownUpstream) -> ScoredUpstream<'a> {
+    fn score_call<'a>(&self, now: Duration, known: &'a KnownUpstream) -> UpstreamCandidate<'a> {
         let others = self.peer_load(known);
         let delay = known.predict_call_duration(now, others);
-        ScoredUpstream {
+        UpstreamCandidate {
             cost: self.add_failure_cost(known, delay),
             delay,
             import: None,
@@ -425,7 +425,7 @@
         query: &ChoiceQuery,
         known: &'a KnownUpstream,
         placement: &PromptPlacement<'a>,
-    ) -> ScoredUpstream<'a> {
+    ) -> UpstreamCandidate<'a> {
         let others = self.peer_load(known);
         let prompt = placement.prompt;
         let is_cached =
@@ -450,7 +450,7 @@
             true => known.reading_time(unread - owner_tokens.min(unread)) + import_time,
             false => Duration::ZERO,
         };
-        ScoredUpstream {
+        UpstreamCandidate {
             cost: self.add_failure_cost(known, delay) + reading_cost * Self::READING_COST_FACTOR,
             delay,
             import,
--- a/crates/ebonystand-core/src/gateway/upstream_pressure.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_pressure.rs
@@ -108,11 +108,11 @@
     }
 
     /// Returns the unexpired latencies reported by other regions, for the relays' messages.
-    pub(super) fn recent_region_latencies(&self, now: Duration) -> Vec<ToldPressure> {
+    pub(super) fn recent_region_latencies(&self, now: Duration) -> Vec<RelayedLatency> {
         let reported = self.region_latencies.iter();
         let reported = reported.map(|((region, service), (at, latency))| {
             let age = now.saturating_sub(*at);
-            (age < Self::REGION_LATENCY_LIFETIME).then(|| ToldPressure {
+            (age < Self::REGION_LATENCY_LIFETIME).then(|| RelayedLatency {
                 age_ms: age.as_millis() as u64,
                 event_gap_ms: latency.event_gap.as_millis() as u64,
                 first_byte_ms: latency.first_byte.as_millis() as u64,
--- a/crates/ebonystand-core/src/load_exchange/load_message.rs
+++ b/crates/ebonystand-core/src/load_exchange/load_message.rs
@@ -1,78 +1,81 @@
 use super::*;
 
-/// What a VM tells others of its region about the load at upstreams and what engines keep.
+/// Message between VMs of a region about the requests in flight at upstreams and the prefixes that
+/// engines cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LoadMessage {
-    /// From a relay to another: the load of the VMs that report to it and its own.
+    /// From a relay to another relay: the load of the VMs that report to it, and its own.
     Group {
-        /// What engines keep, news of these VMs.
+        /// Newly cached prefixes known to these VMs.
         #[serde(with = "crate::prefix_cache::cached_news")]
         cached: Vec<CachedPrefix>,
-        /// Sum of their loads.
+        /// Sum of these VMs' requests in flight, by upstream.
         under_way: UpstreamLoads,
     },
     /// From a relay to a VM that reports to it: the load of the whole region.
     Region {
-        /// What engines keep, news of the other VMs.
+        /// Newly cached prefixes known to the other VMs.
         #[serde(with = "crate::prefix_cache::cached_news")]
         cached: Vec<CachedPrefix>,
-        /// Number of the recipient's report that the sum includes.
+        /// Number of the recipient's latest report that the sum includes, so that the recipient can
+        /// subtract its own load.
         included: u32,
-        /// What other regions have told.
-        pressures: Vec<ToldPressure>,
-        /// Sum of the loads of all VMs, the recipient among them.
+        /// Latencies that other regions have reported.
+        region_latencies: Vec<RelayedLatency>,
+        /// Sum of the requests in flight of all VMs, including the recipient's, by upstream.
         under_way: UpstreamLoads,
     },
     /// From a VM to its relay: its own load.
     Report {
-        /// What engines keep, news of this VM.
+        /// Newly cached prefixes known to this VM.
         #[serde(with = "crate::prefix_cache::cached_news")]
         cached: Vec<CachedPrefix>,
-        /// Grows with each report.
+        /// Report number, which grows with each report.
         number: u32,
-        /// Its load.
+        /// Requests that the VM has in flight, by upstream.
         under_way: UpstreamLoads,
     },
 }
 
 impl LoadMessage {
-    /// Bytes of an upstream's load, and of a word on what an engine keeps, as they are encoded at most.
-    const ENTRY_BYTES: usize = 16;
-    /// Bytes of the rest, without what other regions told.
-    const REST_BYTES: usize = 16;
-    /// Bytes of what another region told of a service.
-    const PRESSURE_BYTES: usize = 64;
+    /// Most bytes that one upstream's load or one cached prefix is encoded in.
+    const MAX_ENTRY_BYTES: usize = 16;
+    /// Most bytes that the rest of the message is encoded in, without the latencies.
+    const MAX_HEADER_BYTES: usize = 16;
+    /// Most bytes that another region's latency for one service is encoded in.
+    const MAX_LATENCY_BYTES: usize = 64;
 
-    /// The newer state in the place of `older`, which was not sent: news of both on what engines keep.
+    /// Merges this message with `older`, which was not sent: the loads of this message, the cached
+    /// prefixes of both.
     #[must_use]
-    pub fn after(mut self, mut older: Self) -> Self {
-        let (mut news, _) = older.take_cached();
+    pub fn merge_unsent(mut self, mut older: Self) -> Self {
+        let (mut merged, _) = older.take_cached();
         let cached = self.cached_mut();
-        news.append(cached);
-        let beyond = news.len().saturating_sub(CacheDirectory::MOST);
-        news.drain(..beyond);
-        *cached = news;
+        merged.append(cached);
+        let excess = merged.len().saturating_sub(CacheDirectory::MOST);
+        merged.drain(..excess);
+        *cached = merged;
         self
     }
 
-    /// Bytes that it is encoded in at most.
+    /// Returns an upper bound of the encoded length in bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
-        let (cached, pressures, under_way) = match self {
+    pub fn max_encoded_len(&self) -> usize {
+        let (cached, region_latencies, under_way) = match self {
             Self::Group { cached, under_way }
             | Self::Report {
                 cached, under_way, ..
             } => (cached.len(), 0, under_way.len()),
             Self::Region {
                 cached,
-                pressures,
+                region_latencies,
                 under_way,
                 ..
-            } => (cached.len(), pressures.len(), under_way.len()),
+            } => (cached.len(), region_latencies.len(), under_way.len()),
         };
-        Self::REST_BYTES
-            + (cached + under_way) * Self::ENTRY_BYTES
-            + pressures * Self::PRESSURE_BYTES
+        Self::MAX_HEADER_BYTES
+            + (cached + under_way) * Self::MAX_ENTRY_BYTES
+            + region_latencies * Self::MAX_LATENCY_BYTES
     }
 
     fn cached_mut(&mut self) -> &mut Vec<CachedPrefix> {
@@ -83,14 +86,14 @@
         }
     }
 
-    /// Takes out what engines keep, with which VMs know of it.
+    /// Takes the cached prefixes out of the message, with their origin.
     pub(crate) fn take_cached(&mut self) -> (Vec<CachedPrefix>, CacheNews) {
-        let (cached, news) = match self {
+        let (cached, origin) = match self {
             Self::Group { cached, .. } | Self::Region { cached, .. } => {
                 (cached, CacheNews::Relayed)
             }
             Self::Report { cached, .. } => (cached, CacheNews::Reported),
         };
-        (std::mem::take(cached), news)
+        (std::mem::take(cached), origin)
     }
 }
--- a/crates/ebonystand-core/src/load_exchange/mod.rs
+++ b/crates/ebonystand-core/src/load_exchange/mod.rs
@@ -1,8 +1,8 @@
-//! What the VMs of a region tell one another of the load at its upstreams, and through which of them.
+//! Exchange of load reports between the VMs of a region, and the choice of the VMs that relay them.
 //!
-//! In a small region each VM tells all others. In a larger one a few VMs of each zone relay: the others
-//! report to one of them and get the sum over the region back, so that the messages of a VM hardly
-//! grow with the region.
+//! In a small region, each VM sends its load to all others. In a larger one, a few VMs of each zone
+//! are relays: the others report to one of them and receive the sum over the region, so that the
+//! number of messages per VM hardly grows with the region.
 
 use super::*;
 
@@ -10,8 +10,8 @@
     load_message::LoadMessage,
     region_vm::RegionVm,
     relay_plan::RelayPlan,
+    relayed_latency::RelayedLatency,
     state::LoadExchange,
-    told_pressure::ToldPressure,
     under_way::UnderWay,
     upstream_key::{UpstreamKey, UpstreamLoads},
 };
@@ -22,8 +22,8 @@
 mod peer_loads;
 mod region_vm;
 mod relay_plan;
+mod relayed_latency;
 mod report_log;
 mod state;
-mod told_pressure;
 mod under_way;
 mod upstream_key;
--- a/crates/ebonystand-core/src/load_exchange/peer_loads.rs
+++ b/crates/ebonystand-core/src/load_exchange/peer_loads.rs
@@ -1,95 +1,109 @@
 use super::*;
 
-/// What other VMs have told that they have under way, with the sums by upstream.
+/// Requests that other VMs have reported as in flight, with sums by upstream.
 ///
-/// Upstreams tell their load only to who sends to them, with an answer. Where many VMs send to many
-/// upstreams, each one knows of few, and late; all then meet at the same ones.
+/// Upstreams report their load only to VMs that send to them, along with an answer. Where many VMs
+/// send to many upstreams, each VM knows the load of a few only, and late; without reports from one
+/// another, all VMs would choose the same upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerLoads {
-    life: Duration,
+    lifetime: Duration,
     sums: FxHashMap<UpstreamKey, UnderWay>,
-    told: BTreeMap<VmId, Told>,
+    reports: BTreeMap<VmId, PeerReport>,
 }
 
+/// Latest report of one VM.
 #[derive(Clone, Debug)]
-struct Told {
-    at: Duration,
+struct PeerReport {
+    received_at: Duration,
     under_way: UpstreamLoads,
 }
 
 impl PeerLoads {
-    /// What a VM tells counts for `life`: some messages may get lost on the way, and what a VM that is
-    /// gone had under way has ended.
-    pub(crate) fn new(life: Duration) -> Self {
+    /// Creates an empty set of reports that expire after `lifetime`: some messages may be lost, and
+    /// the requests of a VM that is gone have ended.
+    pub(crate) fn new(lifetime: Duration) -> Self {
         Self {
-            life,
+            lifetime,
             sums: FxHashMap::default(),
-            told: BTreeMap::new(),
+            reports: BTreeMap::new(),
         }
     }
 
-    /// What they have under way at an upstream.
-    pub(crate) fn at(&self, upstream: UpstreamKey) -> UnderWay {
+    /// Returns the sum of the requests in flight at an upstream.
+    pub(crate) fn load_at(&self, upstream: UpstreamKey) -> UnderWay {
         self.sums.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Forgets what a VM told.
-    pub(crate) fn forget(&mut self, vm: &str) {
-        if let Some(told) = self.told.remove(vm) {
-            self.take_out(told.under_way);
+    /// Removes the report of a VM.
+    pub(crate) fn remove(&mut self, vm: &str) {
+        if let Some(report) = self.reports.remove(vm) {
+            self.subtract_loads(report.under_way);
         }
     }
 
-    /// Forgets what all VMs told but one.
-    pub(crate) fn forget_others(&mut self, vm: &str) {
-        self.forget_if(|other, _| *other != *vm);
+    /// Removes the reports of all VMs except one.
+    pub(crate) fn retain_only(&mut self, vm: &str) {
+        self.remove_where(|other, _| *other != *vm);
     }
 
-    /// Forgets what VMs told that have fallen silent.
-    pub(crate) fn forget_silent(&mut self, now: Duration) {
-        let life = self.life;
-        self.forget_if(|_, told| now.saturating_sub(told.at) >= life);
+    /// Removes the reports of VMs that have fallen silent.
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
+        let lifetime = self.lifetime;
+        self.remove_where(|_, report| now.saturating_sub(report.received_at) >= lifetime);
     }
 
-    /// Whether anything counts that this VM told.
-    pub(crate) fn hears(&self, vm: &str) -> bool {
-        self.told.contains_key(vm)
+    /// Returns whether there is an unexpired report of this VM.
+    pub(crate) fn has_report_from(&self, vm: &str) -> bool {
+        self.reports.contains_key(vm)
     }
 
-    /// Sums by upstream.
+    /// Returns the sum of all reports for each upstream.
     pub(crate) fn sums(&self) -> impl Iterator<Item = (UpstreamKey, UnderWay)> {
         self.sums.iter().map(|(upstream, sum)| (*upstream, *sum))
     }
 
-    /// Takes what a VM tells. The sums change by the difference, so that a message costs as much as it
-    /// tells, however many VMs there are.
-    pub(crate) fn tell(&mut self, now: Duration, vm: VmId, under_way: UpstreamLoads) {
+    /// Replaces the report of a VM. The sums are updated by the difference, so the cost depends on
+    /// the size of the report and not on the number of VMs.
+    pub(crate) fn record_report(&mut self, now: Duration, vm: VmId, under_way: UpstreamLoads) {
         for (upstream, load) in &under_way {
             self.sums.entry(*upstream).or_default().add(*load);
         }
-        if let Some(before) = self.told.insert(vm, Told { at: now, under_way }) {
-            self.take_out(before.under_way);
+        if let Some(before) = self.reports.insert(
+            vm,
+            PeerReport {
+                received_at: now,
+                under_way,
+            },
+        ) {
+            self.subtract_loads(before.under_way);
         }
     }
 
-    /// VMs of which something counts.
+    /// Returns the VMs that have an unexpired report.
     pub(crate) fn vms(&self) -> impl Iterator<Item = &VmId> {
-        self.told.keys()
+        self.reports.keys()
     }
 
-    fn forget_if(&mut self, is_over: impl Fn(&str, &Told) -> bool) {
-        let over = self.told.extract_if(.., |vm, told| is_over(vm, told));
-        let over = over.map(|(_, told)| told.under_way).collect::<Vec<_>>();
-        over.into_iter().for_each(|loads| self.take_out(loads));
+    fn remove_where(&mut self, is_removed: impl Fn(&str, &PeerReport) -> bool) {
+        let removed = self
+            .reports
+            .extract_if(.., |vm, report| is_removed(vm, report));
+        let removed = removed
+            .map(|(_, report)| report.under_way)
+            .collect::<Vec<_>>();
+        removed
+            .into_iter()
+            .for_each(|loads| self.subtract_loads(loads));
     }
 
-    fn take_out(&mut self, under_way: UpstreamLoads) {
+    fn subtract_loads(&mut self, under_way: UpstreamLoads) {
         for (upstream, load) in under_way {
             let Some(sum) = self.sums.get_mut(&upstream) else {
                 continue;
             };
-            sum.take_out(load);
-            if sum.is_none() {
+            sum.subtract(load);
+            if sum.is_idle() {
                 self.sums.remove(&upstream);
             }
         }
--- a/crates/ebonystand-core/src/load_exchange/region_vm.rs
+++ b/crates/ebonystand-core/src/load_exchange/region_vm.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// A live VM of a region.
+/// Live VM of a region, with what the choice of relays depends on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RegionVm {
-    /// Whether it stays; one that is about to stop relays nothing.
-    pub stays: bool,
-    /// Its name.
+    /// Whether the VM keeps running; one that is about to stop is not made a relay.
+    pub is_staying: bool,
+    /// Name of the VM.
     pub vm: VmId,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneId,
 }
--- a/crates/ebonystand-core/src/load_exchange/relay_plan.rs
+++ b/crates/ebonystand-core/src/load_exchange/relay_plan.rs
@@ -1,40 +1,43 @@
 use super::*;
 
-/// Which VMs of a region relay what its VMs tell one another.
+/// Choice of the VMs that relay the load reports of a region.
 ///
-/// VMs with equal views agree without a message. Where views differ, a VM relays for whoever reports to
-/// it.
+/// VMs with equal views of the region agree on it without a message. Where views differ, a VM acts
+/// as a relay for any VM that reports to it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RelayPlan {
-    /// Each VM tells all others.
+    /// Whether each VM sends its load to all others.
     is_direct: bool,
     relays: Vec<(ZoneId, VmId)>,
 }
 
 impl RelayPlan {
-    /// Largest region in which each VM tells all others.
-    pub const DIRECT: usize = 6;
-    /// VMs for each relay of a zone, itself included. In the largest region planned, of 150 VMs, a relay then
-    /// tells about as many of these as other relays.
-    pub const GROUP: usize = 14;
-    /// Seed of the weights by which a zone's relays are picked.
-    const SEED: u64 = 1;
+    /// Largest number of VMs in a region in which each VM sends its load to all others.
+    pub const MAX_DIRECT_VMS: usize = 6;
+    /// VMs per relay of a zone, the relay included. In the largest planned region, of 150 VMs, a
+    /// relay then sends to about as many VMs as other relays.
+    pub const VMS_PER_RELAY: usize = 14;
+    /// Seed of the rendezvous hashing that picks a zone's relays.
+    const RELAY_SEED: u64 = 1;
 
-    /// Relays of a region with these VMs.
+    /// Picks the relays of a region with these VMs.
     #[must_use]
     pub fn new<'a>(vms: impl IntoIterator<Item = &'a RegionVm>) -> Self {
         let mut zones = BTreeMap::<&ZoneId, Vec<&RegionVm>>::new();
         for vm in vms {
             zones.entry(&vm.zone).or_default().push(vm);
         }
-        let is_direct = zones.values().map(Vec::len).sum::<usize>() <= Self::DIRECT;
-        let rendezvous = Rendezvous::new(Self::SEED);
+        let is_direct = zones.values().map(Vec::len).sum::<usize>() <= Self::MAX_DIRECT_VMS;
+        let rendezvous = Rendezvous::new(Self::RELAY_SEED);
         let of_zone = |vms: Vec<&'a RegionVm>| {
             let count = match is_direct {
                 true => vms.len(),
-                false => vms.len().div_ceil(Self::GROUP),
+                false => vms.len().div_ceil(Self::VMS_PER_RELAY),
             };
-            let mut staying = vms.into_iter().filter(|vm| vm.stays).collect::<Vec<_>>();
+            let mut staying = vms
+                .into_iter()
+                .filter(|vm| vm.is_staying)
+                .collect::<Vec<_>>();
             staying.sort_by_key(|vm| std::cmp::Reverse(rendezvous.weight(&vm.vm)));
             staying.into_iter().take(count)
         };
@@ -45,21 +48,21 @@
         }
     }
 
-    /// Whether each VM tells all others.
+    /// Returns whether each VM sends its load to all others.
     #[must_use]
     pub fn is_direct(&self) -> bool {
         self.is_direct
     }
 
-    /// The VMs that relay.
+    /// Returns the VMs that relay.
     pub fn relays(&self) -> impl Iterator<Item = &VmId> {
         self.relays.iter().map(|(_, vm)| vm)
     }
 
-    /// The relays in the order in which the VM `own` of `zone` reports to them: those of its zone first,
-    /// spread among the zone's VMs.
+    /// Returns the relays in the order in which the VM `own` of `zone` tries to report to them:
+    /// those of its zone first, shuffled differently for each VM so that the load is spread.
     #[must_use]
-    pub fn order(&self, own: &str, zone: &str) -> Vec<VmId> {
+    pub fn relay_order(&self, own: &str, zone: &str) -> Vec<VmId> {
         let rendezvous = Rendezvous::new(xxh3_64(own.as_bytes()));
         let others = self.relays.iter().filter(|(_, vm)| **vm != *own);
         let mut order = others.collect::<Vec<_>>();
--- a/crates/ebonystand-core/src/load_exchange/state.rs
+++ b/crates/ebonystand-core/src/load_exchange/state.rs
@@ -1,239 +1,259 @@
 use super::*;
 
-/// One VM's part in telling one another of the load at a region's upstreams.
+/// One VM's side of the load exchange in its region.
 ///
-/// A VM either reports to a relay or relays. A relay adds up what is reported to it, tells the sum to the
-/// other relays and gives the sum over the region back. A relay that falls silent is passed over; what was
-/// reported to it counts for a short time only.
+/// A VM either reports to a relay or is a relay itself; in a small region every VM is one. A relay adds up the reports that it
+/// receives, sends the sum to the other relays and returns the sum over the region to the VMs that
+/// report to it. A VM skips a relay that has fallen silent; the reports that such a relay has
+/// received expire soon.
 #[derive(Clone, Debug)]
 pub struct LoadExchange {
-    /// News for the other relays.
+    /// Newly cached prefixes to be sent to the other relays.
     cached_for_relays: Vec<CachedPrefix>,
-    /// News for the VMs that report to this one.
+    /// Newly cached prefixes to be sent to the VMs that report to this one.
     cached_for_reporters: Vec<CachedPrefix>,
-    /// Relays in the order in which this VM reports to them.
-    order: Vec<VmId>,
+    /// Relays in the order in which this VM tries to report to them.
+    relay_order: Vec<VmId>,
     own: VmId,
+    /// Relays of the region.
     plan: RelayPlan,
-    /// The relay that this VM reports to.
-    relay: Option<Relay>,
-    /// What relays have told: a relay hears the sums of the others, any other VM the sum over the region.
+    /// Relay that this VM reports to.
+    current_relay: Option<CurrentRelay>,
+    /// Loads received from relays: a relay has the sums of the other relays, any other VM has the
+    /// sum over the region.
     relayed: PeerLoads,
-    /// Number of the last report of each VM that reports to this one.
+    /// Number of the latest report of each VM that reports to this one.
     reporters: BTreeMap<VmId, u32>,
-    /// What was reported to this VM.
+    /// Loads that VMs reported to this one.
     reported: PeerLoads,
+    /// Latest reports of this VM.
     reports: ReportLog,
     /// Relays that have fallen silent.
-    silent: BTreeMap<VmId, PassedOver>,
-    /// Whether the last message told of any load.
-    told_some: bool,
+    skipped_relays: BTreeMap<VmId, SkippedRelay>,
+    /// Whether the last message to the other relays contained any load.
+    has_sent_load: bool,
     zone: ZoneId,
 }
 
+/// Relay that this VM reports to, with the latest sign of its activity.
 #[derive(Clone, Debug)]
-struct Relay {
-    /// When it last told of a newer report of this VM, or was first reported to.
-    heard: Duration,
-    /// Number of that report.
-    included: Option<u32>,
+struct CurrentRelay {
+    /// When the relay last acknowledged a newer report of this VM, or was chosen.
+    last_progress: Duration,
+    /// Number of the latest acknowledged report; `None` before the first one.
+    included_report: Option<u32>,
     vm: VmId,
 }
 
-/// For how long a relay is passed over.
+/// Period for which a silent relay is skipped.
 #[derive(Clone, Copy, Debug)]
-struct PassedOver {
+struct SkippedRelay {
+    /// Time until which the relay is skipped.
     until: Duration,
-    wait: Duration,
+    /// Length of the period, which doubles with each further silence.
+    skip_time: Duration,
 }
 
 impl LoadExchange {
-    /// Time between two reports: short against the time that a prompt takes to be read.
-    pub const REPORT_EVERY: Duration = Duration::from_millis(100);
-    /// Time between two messages of a relay. It delays what passes it, twice where two relays are on the
-    /// way.
-    pub const RELAY_EVERY: Duration = Duration::from_millis(75);
-    /// What was reported counts for so long: until a VM whose relay fell silent has reported to another
-    /// one. It is counted at both until then.
-    const REPORT_LIFE: Duration = Duration::from_millis(600);
-    /// What a relay tells counts for so long.
-    const RELAYED_LIFE: Duration = Duration::from_millis(1_000);
-    /// A relay that tells of no newer report for longer is passed over: several of its turns.
-    const RELAY_SILENCE: Duration = Duration::from_millis(350);
-    /// Time for which a silent relay is passed over at first; it doubles with each further silence.
-    const PASSED_OVER: Duration = Duration::from_secs(2);
-    /// Longest such time.
-    const LONGEST_PASSED_OVER: Duration = Duration::from_secs(32);
+    /// Time between two reports; short compared to the time that an engine takes to read a prompt.
+    pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+    /// Time between two messages of a relay. Each relay on the path of a report adds up to this
+    /// delay; there are at most two.
+    pub const RELAY_INTERVAL: Duration = Duration::from_millis(75);
+    /// Time until a report to a relay expires: long enough for a VM whose relay fell silent to
+    /// report to another one. Until then, both relays count its load.
+    const REPORT_LIFETIME: Duration = Duration::from_millis(600);
+    /// Time until the sums received from a relay expire.
+    const RELAYED_LIFETIME: Duration = Duration::from_millis(1_000);
+    /// Time without acknowledgement of a newer report after which a relay is skipped; spans several
+    /// of its intervals.
+    const RELAY_TIMEOUT: Duration = Duration::from_millis(350);
+    /// Time for which a silent relay is skipped at first; it doubles with each further silence.
+    const MIN_SKIP_TIME: Duration = Duration::from_secs(2);
+    /// Longest time for which a silent relay is skipped.
+    const MAX_SKIP_TIME: Duration = Duration::from_secs(32);
 
-    /// Exchange of the VM `own` in `zone`, as yet alone.
+    /// Creates the exchange of the VM `own` in `zone`, which knows no other VM yet.
     #[must_use]
     pub fn new(own: VmId, zone: ZoneId) -> Self {
         Self {
             cached_for_relays: Vec::new(),
             cached_for_reporters: Vec::new(),
-            order: Vec::new(),
+            relay_order: Vec::new(),
             own,
             plan: RelayPlan::default(),
-            relay: None,
-            relayed: PeerLoads::new(Self::RELAYED_LIFE),
+            current_relay: None,
+            relayed: PeerLoads::new(Self::RELAYED_LIFETIME),
             reporters: BTreeMap::new(),
-            reported: PeerLoads::new(Self::REPORT_LIFE),
+            reported: PeerLoads::new(Self::REPORT_LIFETIME),
             reports: ReportLog::default(),
-            silent: BTreeMap::new(),
-            told_some: false,
+            skipped_relays: BTreeMap::new(),
+            has_sent_load: false,
             zone,
         }
     }
 
-    /// What the other VMs of the region have under way at an upstream.
+    /// Returns the requests that the other VMs of the region have in flight at an upstream.
     #[must_use]
-    pub fn at(&self, upstream: UpstreamKey) -> UnderWay {
-        let mut load = self.relayed.at(upstream);
-        load.add(self.reported.at(upstream));
+    pub fn load_at(&self, upstream: UpstreamKey) -> UnderWay {
+        let mut load = self.relayed.load_at(upstream);
+        load.add(self.reported.load_at(upstream));
         load
     }
 
-    /// Time until [`Self::tick`] is due again.
+    /// Returns the time between two calls of [`Self::build_messages`].
     #[must_use]
-    pub fn every(&self) -> Duration {
+    pub fn message_interval(&self) -> Duration {
         match self.is_relay() && !self.plan.is_direct() {
-            true => Self::RELAY_EVERY,
-            false => Self::REPORT_EVERY,
+            true => Self::RELAY_INTERVAL,
+            false => Self::REPORT_INTERVAL,
         }
     }
 
-    /// Forgets what VMs told that have fallen silent.
-    pub fn forget_silent(&mut self, now: Duration) {
-        self.relayed.forget_silent(now);
-        self.reported.forget_silent(now);
+    /// Removes the loads of VMs that have fallen silent, and forgets the skip times of relays that
+    /// have been usable again for twice as long as they were skipped.
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.relayed.remove_expired(now);
+        self.reported.remove_expired(now);
         let Self {
             reported,
             reporters,
             ..
         } = self;
-        reporters.retain(|vm, _| reported.hears(vm));
-        self.silent
-            .retain(|_, passed| now < passed.until + 2 * passed.wait);
+        reporters.retain(|vm, _| reported.has_report_from(vm));
+        self.skipped_relays
+            .retain(|_, skipped| now < skipped.until + 2 * skipped.skip_time);
     }
 
-    /// Whether this VM relays: it is one of those that do, or another VM holds it for one.
+    /// Returns whether this VM is a relay: by its own view of the region, or because another VM
+    /// reports to it.
     #[must_use]
     pub fn is_relay(&self) -> bool {
         self.plan.relays().any(|vm| *vm == self.own) || !self.reporters.is_empty()
     }
 
-    /// Takes what a VM of the region tells.
-    pub fn receive(&mut self, now: Duration, from: &VmId, message: LoadMessage) {
+    /// Processes a message from a VM of the region.
+    pub fn handle_message(&mut self, now: Duration, from: &VmId, message: LoadMessage) {
         match message {
             LoadMessage::Group { under_way, .. } => {
-                self.reported.forget(from);
+                self.reported.remove(from);
                 self.reporters.remove(from);
-                self.relayed.tell(now, from.clone(), under_way);
+                self.relayed.record_report(now, from.clone(), under_way);
             }
             LoadMessage::Region {
                 included,
                 under_way,
                 ..
-            } => self.receive_region(now, from, included, under_way),
+            } => self.handle_region_load(now, from, included, under_way),
             LoadMessage::Report {
                 number, under_way, ..
             } => {
-                self.relayed.forget(from);
+                self.relayed.remove(from);
                 self.reporters.insert(from.clone(), number);
-                self.reported.tell(now, from.clone(), under_way);
+                self.reported.record_report(now, from.clone(), under_way);
             }
         }
     }
 
-    /// Takes what engines keep, news that came with a message, to pass it on if this VM relays.
-    pub fn pass_on(&mut self, cached: &[CachedPrefix], news: CacheNews) {
+    /// Queues cached prefixes that arrived with a message to be passed on, if this VM is a relay.
+    /// `origin` tells which VMs know them already.
+    pub fn forward_cached(&mut self, cached: &[CachedPrefix], origin: CacheNews) {
         if !self.is_relay() {
             return;
         }
-        Self::extend(&mut self.cached_for_reporters, cached);
-        if news == CacheNews::Reported {
-            Self::extend(&mut self.cached_for_relays, cached);
+        Self::append_bounded(&mut self.cached_for_reporters, cached);
+        if origin == CacheNews::Reported {
+            Self::append_bounded(&mut self.cached_for_relays, cached);
         }
     }
 
-    /// The VMs that relay, this one included if it does.
+    /// Returns the relays of the region, including this VM if it is one.
     pub fn relays(&self) -> impl Iterator<Item = &VmId> {
         self.plan.relays()
     }
 
-    /// VMs that report to this one.
+    /// Returns the VMs that report to this one.
     pub fn reporters(&self) -> impl Iterator<Item = &VmId> {
         self.reporters.keys()
     }
 
-    /// Takes over which VMs of the region live.
+    /// Replaces the live VMs of the region, and chooses the relays anew if that changes them.
     pub fn set_vms(&mut self, vms: &[RegionVm]) {
         let plan = RelayPlan::new(vms);
         if plan != self.plan {
-            self.order = plan.order(&self.own, &self.zone);
+            self.relay_order = plan.relay_order(&self.own, &self.zone);
             self.plan = plan;
         }
     }
 
-    /// What is to be told now, and to whom: `own` is the load of this VM, `cached` what it has learnt that
-    /// engines keep, `pressures` what other regions have told.
-    pub fn tick(
+    /// Returns the messages to be sent now with their recipients. `own` is the load of this VM,
+    /// `cached` the prefixes that it has found to be cached by engines, and `region_latencies` the
+    /// reports of other regions.
+    pub fn build_messages(
         &mut self,
         now: Duration,
         own: UpstreamLoads,
         cached: Vec<CachedPrefix>,
-        pressures: &[ToldPressure],
+        region_latencies: &[RelayedLatency],
     ) -> Vec<(VmId, LoadMessage)> {
-        self.forget_silent(now);
+        self.remove_expired(now);
         match self.is_relay() {
-            true => self.relay(own, &cached, pressures),
-            false => self.report(now, own, cached).into_iter().collect(),
+            true => self.relay_messages(own, &cached, region_latencies),
+            false => self.report_message(now, own, cached).into_iter().collect(),
         }
     }
 
-    fn extend(news: &mut Vec<CachedPrefix>, cached: &[CachedPrefix]) {
-        let room = CacheDirectory::MOST.saturating_sub(news.len());
-        news.extend(cached.iter().take(room).cloned());
+    /// Appends prefixes to a queue that holds at most [`CacheDirectory::MOST`]; the rest is
+    /// dropped.
+    fn append_bounded(queue: &mut Vec<CachedPrefix>, cached: &[CachedPrefix]) {
+        let room = CacheDirectory::MOST.saturating_sub(queue.len());
+        queue.extend(cached.iter().take(room).cloned());
     }
 
-    fn receive_region(
+    /// Records the load of the region from the current relay, with this VM's own share subtracted.
+    fn handle_region_load(
         &mut self,
         now: Duration,
         from: &VmId,
         included: u32,
         under_way: UpstreamLoads,
     ) {
-        let relay = self.relay.as_mut().filter(|relay| relay.vm == *from);
+        let relay = self
+            .current_relay
+            .as_mut()
+            .filter(|relay| relay.vm == *from);
         let Some(relay) = relay else {
             return;
         };
-        if relay.included != Some(included) {
-            relay.included = Some(included);
-            relay.heard = now;
+        if relay.included_report != Some(included) {
+            relay.included_report = Some(included);
+            relay.last_progress = now;
         }
-        let others = self.reports.without_own(included, under_way);
-        self.relayed.forget_others(from);
-        self.relayed.tell(now, from.clone(), others);
+        let others = self.reports.subtract_own(included, under_way);
+        self.relayed.retain_only(from);
+        self.relayed.record_report(now, from.clone(), others);
     }
 
-    fn relay(
+    /// Builds the messages of a relay, to the other relays and to the VMs that report to it.
+    fn relay_messages(
         &mut self,
         own: UpstreamLoads,
         cached: &[CachedPrefix],
-        pressures: &[ToldPressure],
+        region_latencies: &[RelayedLatency],
     ) -> Vec<(VmId, LoadMessage)> {
-        self.relay = None;
-        Self::extend(&mut self.cached_for_relays, cached);
-        Self::extend(&mut self.cached_for_reporters, cached);
+        self.current_relay = None;
+        Self::append_bounded(&mut self.cached_for_relays, cached);
+        Self::append_bounded(&mut self.cached_for_reporters, cached);
         let for_relays = std::mem::take(&mut self.cached_for_relays);
         let for_reporters = std::mem::take(&mut self.cached_for_reporters);
         let mut sums = own.into_iter().collect::<FxHashMap<_, _>>();
-        add(&mut sums, self.reported.sums());
-        let group = loads(&sums);
+        add_loads(&mut sums, self.reported.sums());
+        let group = collect_loads(&sums);
         let mut messages = Vec::new();
-        // Once more when nothing is left, or the others would go by the last word.
-        let tells = self.told_some || !group.is_empty() || !for_relays.is_empty();
-        self.told_some = !group.is_empty();
+        // An empty sum is sent once, because the others would otherwise keep counting the last one
+        // until it expires.
+        let tells = self.has_sent_load || !group.is_empty() || !for_relays.is_empty();
+        self.has_sent_load = !group.is_empty();
         if tells || !self.reporters.is_empty() {
             let planned = self.plan.relays().chain(self.relayed.vms());
             let relays = planned.filter(|vm| **vm != self.own && !self.reporters.contains_key(*vm));
@@ -245,13 +265,13 @@
                 messages.push((vm.clone(), message));
             }
         }
-        add(&mut sums, self.relayed.sums());
-        let region = loads(&sums);
+        add_loads(&mut sums, self.relayed.sums());
+        let region = collect_loads(&sums);
         for (vm, included) in &self.reporters {
             let message = LoadMessage::Region {
                 cached: for_reporters.clone(),
                 included: *included,
-                pressures: pressures.to_vec(),
+                region_latencies: region_latencies.to_vec(),
                 under_way: region.clone(),
             };
             messages.push((vm.clone(), message));
@@ -259,13 +279,14 @@
         messages
     }
 
-    fn report(
+    /// Builds the report to the current relay, if there is any.
+    fn report_message(
         &mut self,
         now: Duration,
         own: UpstreamLoads,
         cached: Vec<CachedPrefix>,
     ) -> Option<(VmId, LoadMessage)> {
-        let vm = self.relay_now(now)?;
+        let vm = self.select_relay(now)?;
         let number = self.reports.push(own.clone());
         let message = LoadMessage::Report {
             cached,
@@ -275,28 +296,40 @@
         Some((vm, message))
     }
 
-    /// The relay to report to: the first in order that is not silent, or the first if all are.
-    fn relay_now(&mut self, now: Duration) -> Option<VmId> {
-        let is_silent =
-            |relay: &mut Relay| now.saturating_sub(relay.heard) > LoadExchange::RELAY_SILENCE;
-        if let Some(relay) = self.relay.take_if(is_silent) {
-            let before = self.silent.get(&relay.vm);
-            let wait = before.map_or(Self::PASSED_OVER, |passed| passed.wait * 2);
-            let wait = wait.min(Self::LONGEST_PASSED_OVER);
+    /// Returns the relay to report to: the first in order that is not skipped, or the first if all
+    /// are.
+    fn select_relay(&mut self, now: Duration) -> Option<VmId> {
+        let is_silent = |relay: &mut CurrentRelay| {
+            now.saturating_sub(relay.last_progress) > LoadExchange::RELAY_TIMEOUT
+        };
+        if let Some(relay) = self.current_relay.take_if(is_silent) {
+            let before = self.skipped_relays.get(&relay.vm);
+            let wait = before.map_or(Self::MIN_SKIP_TIME, |skipped| skipped.skip_time * 2);
+            let wait = wait.min(Self::MAX_SKIP_TIME);
             let until = now + wait;
-            self.silent.insert(relay.vm, PassedOver { until, wait });
+            self.skipped_relays.insert(
+                relay.vm,
+                SkippedRelay {
+                    until,
+                    skip_time: wait,
+                },
+            );
         }
         let is_sound = |vm: &&VmId| {
-            self.silent
+            self.skipped_relays
                 .get(*vm)
-                .is_none_or(|passed| now >= passed.until)
+                .is_none_or(|skipped| now >= skipped.until)
         };
-        let sound = self.order.iter().find(is_sound);
-        let vm = sound.or(self.order.first())?.clone();
-        if self.relay.as_ref().is_none_or(|relay| relay.vm != vm) {
-            self.relay = Some(Relay {
-                heard: now,
-                included: None,
+        let sound = self.relay_order.iter().find(is_sound);
+        let vm = sound.or(self.relay_order.first())?.clone();
+        if self
+            .current_relay
+            .as_ref()
+            .is_none_or(|relay| relay.vm != vm)
+        {
+            self.current_relay = Some(CurrentRelay {
+                last_progress: now,
+                included_report: None,
                 vm: vm.clone(),
             });
         }
@@ -304,7 +337,8 @@
     }
 }
 
-fn add(
+/// Adds loads to the sums by upstream.
+fn add_loads(
     sums: &mut FxHashMap<UpstreamKey, UnderWay>,
     loads: impl Iterator<Item = (UpstreamKey, UnderWay)>,
 ) {
@@ -313,7 +347,8 @@
     }
 }
 
-fn loads(sums: &FxHashMap<UpstreamKey, UnderWay>) -> UpstreamLoads {
+/// Returns the sums as a list.
+fn collect_loads(sums: &FxHashMap<UpstreamKey, UnderWay>) -> UpstreamLoads {
     sums.iter()
         .map(|(upstream, load)| (*upstream, *load))
         .collect()
--- a/crates/ebonystand-core/src/load_exchange/upstream_key.rs
+++ b/crates/ebonystand-core/src/load_exchange/upstream_key.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Short name of an upstream in messages between VMs: a hash of its id.
+/// Short identifier of an upstream in messages between VMs: a hash of its instance name.
 ///
-/// Two upstreams of a region have the same one in fewer than 1 in 100,000 regions of 250; each then seems
-/// to have the load of both.
+/// Two upstreams share a key in fewer than 1 in 100,000 regions of 250 upstreams; each of the two
+/// then appears to have the load of both.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct UpstreamKey(u32);
 
-/// Load by upstream, those without any left out.
+/// Requests in flight by upstream; upstreams without any are left out.
 pub type UpstreamLoads = Vec<(UpstreamKey, UnderWay)>;
 
 impl From<&str> for UpstreamKey {
--- a/crates/ebonystand-core/tests/gateway/main.rs
+++ b/crates/ebonystand-core/tests/gateway/main.rs
@@ -110,7 +110,7 @@
 pub(crate) fn region_vms(vms: impl IntoIterator<Item = String>) -> Vec<RegionVm> {
     let vms = vms.into_iter();
     let vms = vms.map(|vm| RegionVm {
-        stays: true,
+        is_staying: true,
         vm: vm.into(),
         zone: "a-1".into(),
     });
--- a/crates/ebonystand-core/tests/load_exchange.rs
+++ b/crates/ebonystand-core/tests/load_exchange.rs
@@ -1,4 +1,4 @@
-//! What VMs of a region know of one another's load, over a network that delays, cuts and loses.
+//! Load exchange between the VMs of a region over a simulated network with delays, cuts and losses.
 
 use {
     ebonystand_core::{
@@ -27,12 +27,13 @@
     UpstreamKey::from(&*format!("u-{vm}"))
 }
 
-/// VMs of one region in two zones. VM `n` has as many tokens under way at upstream `u-n`, which nobody else
-/// uses, as there are milliseconds since the start, so that what another VM knows of it tells its age.
+/// Simulated VMs of one region in two zones. VM `n` reports as many tokens in flight at upstream
+/// `u-n`, which no other VM uses, as milliseconds have passed since the start, so another VM's
+/// knowledge shows its age.
 struct Region {
-    /// Messages from the first to the second are lost.
+    /// Pairs of VMs: messages from the first to the second are lost.
     cut: BTreeSet<(usize, usize)>,
-    /// VMs that neither send nor hear, but are taken for live.
+    /// VMs that neither send nor receive although the others consider them live.
     paused: BTreeSet<usize>,
     bytes: u64,
     due: Vec<Duration>,
@@ -65,14 +66,14 @@
         region
     }
 
-    /// All VMs but `dead` take each other for live.
+    /// Makes all VMs except `dead` consider one another live.
     fn set_live(&mut self, dead: &BTreeSet<usize>) {
         let live = (0..self.vms.len()).filter(|vm| !dead.contains(vm));
         let live = live.map(region_vm).collect::<Vec<_>>();
         self.vms.iter_mut().for_each(|vm| vm.set_vms(&live));
     }
 
-    /// VMs that relay, as the first one sees it.
+    /// Returns the relays, as a VM with a complete view picks them.
     fn relays(&self) -> Vec<usize> {
         let vms = (0..self.vms.len()).map(region_vm).collect::<Vec<_>>();
         let plan = RelayPlan::new(&vms);
@@ -80,7 +81,7 @@
         (0..self.vms.len()).filter(is_relay).collect()
     }
 
-    /// The relay that a VM reports to, and one that reports to it.
+    /// Returns a relay and a VM that reports to it.
     fn pair(&self) -> (usize, usize) {
         let vms = (0..self.vms.len()).map(region_vm).collect::<Vec<_>>();
         let plan = RelayPlan::new(&vms);
@@ -88,19 +89,19 @@
         let member = (0..self.vms.len())
             .find(|vm| !relays.contains(vm))
             .expect("a VM");
-        let order = plan.order(&name(member), &zone(member));
+        let order = plan.relay_order(&name(member), &zone(member));
         let relay = relays.into_iter().find(|relay| name(*relay) == order[0]);
         (relay.expect("a relay"), member)
     }
 
-    /// Age of what `vm` knows of `of`; none if it knows nothing.
+    /// Returns the age of what `vm` knows of the load of `of`; `None` if it knows nothing.
     fn age(&self, vm: usize, of: usize) -> Option<Duration> {
-        let known = self.vms[vm].at(upstream(of)).unread;
+        let known = self.vms[vm].load_at(upstream(of)).unread;
         (known > 0).then(|| self.now.saturating_sub(ms(known)))
     }
 
-    /// Pairs of VMs, paused ones left out, of which the first knows nothing of the second or nothing newer
-    /// than `age`.
+    /// Returns the pairs of VMs, without paused ones, of which the first knows nothing of the second's
+    /// load or nothing newer than `age`.
     fn blind(&self, age: Duration) -> Vec<(usize, usize)> {
         let all = || (0..self.vms.len()).filter(|vm| !self.paused.contains(vm));
         let pairs = all().flat_map(|vm| all().map(move |of| (vm, of)));
@@ -119,7 +120,7 @@
             for (from, to, bytes) in due.into_values().flatten() {
                 if !self.paused.contains(&to) {
                     let message = postcard::from_bytes(&bytes).expect("it decodes");
-                    self.vms[to].receive(self.now, &name(from), message);
+                    self.vms[to].handle_message(self.now, &name(from), message);
                     self.heard[to] += 1;
                 }
             }
@@ -136,7 +137,8 @@
             requests: 1,
             unread: self.now.as_millis() as u64,
         };
-        let messages = self.vms[vm].tick(self.now, vec![(upstream(vm), load)], Vec::new(), &[]);
+        let messages =
+            self.vms[vm].build_messages(self.now, vec![(upstream(vm), load)], Vec::new(), &[]);
         for (to, message) in messages {
             let to = (0..self.vms.len()).find(|other| name(*other) == to);
             let to = to.expect("a VM of the region");
@@ -148,7 +150,7 @@
                 self.flying.entry(at).or_default().push((vm, to, bytes));
             }
         }
-        let every = self.vms[vm].every();
+        let every = self.vms[vm].message_interval();
         self.due[vm] = self.now + every.mul_f64(self.rng.random_range(0.8..1.2));
     }
 }
@@ -159,14 +161,14 @@
 
 fn region_vm(vm: usize) -> RegionVm {
     RegionVm {
-        stays: true,
+        is_staying: true,
         vm: name(vm),
         zone: zone(vm),
     }
 }
 
-/// Each VM told all others of its region: at 100 VMs each sent and heard 200 messages a second, and what it
-/// knew was half a second old.
+/// If each VM sent its load to all others, each VM of a region of 100 would send and receive 200
+/// messages per second, and its knowledge would be half a second old.
 #[rstest]
 #[case(30)]
 #[case(100)]
@@ -212,7 +214,7 @@
     );
 }
 
-/// What a VM has under way is counted once, whichever way it went.
+/// The load of a VM must be counted once at each other VM, whichever path its report took.
 #[rstest]
 #[case(2)]
 #[case(6)]
@@ -229,12 +231,12 @@
         region.run_with(ms(50), &vec![(all, load)]);
     }
     let others = count as u32 - 1;
-    let known = region.vms.iter().map(|vm| vm.at(all).requests);
+    let known = region.vms.iter().map(|vm| vm.load_at(all).requests);
     assert_eq!(known.collect::<Vec<_>>(), vec![others; count]);
 }
 
-/// A relay ends or is frozen. The VMs that report to it would know nothing of the others for as long as that takes to be
-/// noticed.
+/// A relay stops or freezes. Until that is noticed, the VMs that report to it would know nothing of
+/// the others' load, so they must switch to another relay.
 #[rstest]
 #[case::ended(true)]
 #[case::frozen(false)]
@@ -257,7 +259,7 @@
     assert_eq!(region.blind(ms(600)), []);
 }
 
-/// All relays of a zone end together.
+/// All relays of a zone stop together. Its other VMs must report to relays of another zone.
 #[test]
 fn vms_of_a_zone_without_relays_report_to_those_of_another_zone() {
     let mut region = Region::new(40);
@@ -270,7 +272,8 @@
     assert_eq!(region.blind(ms(600)), []);
 }
 
-/// A link between a VM and its relay carries messages one way only.
+/// A link between a VM and its relay carries messages in one direction only: either reports or sums
+/// get lost. No VM may lose sight of the others' load for long.
 #[rstest]
 #[case::reports_are_lost(true)]
 #[case::sums_are_lost(false)]
@@ -287,7 +290,8 @@
     }
 }
 
-/// VMs that have just met see different fleets. One that takes another for the relay is relayed for.
+/// VMs that have just discovered one another have different views of the region. A VM that another
+/// one considers a relay must act as one.
 #[test]
 fn a_vm_relays_for_whoever_takes_it_for_a_relay() {
     let mut region = Region::new(40);
@@ -298,11 +302,11 @@
     assert_eq!(region.blind(ms(600)), []);
 }
 
-/// A VM that is about to stop would take with it what is reported to it.
+/// A VM that is about to stop would lose the reports sent to it, so it must not be a relay.
 #[test]
 fn a_leaving_vm_does_not_relay() {
     let vms = (0..40).map(|vm| RegionVm {
-        stays: vm >= 20,
+        is_staying: vm >= 20,
         ..region_vm(vm)
     });
     let vms = vms.collect::<Vec<_>>();
@@ -311,7 +315,7 @@
     assert!(plan.relays().all(|relay| **relay >= *name(20)));
 }
 
-/// No VM of a small region has a request under way.
+/// VMs of a small region without requests in flight must not send messages.
 #[test]
 fn idle_vms_of_a_small_region_tell_nothing() {
     let mut region = Region::new(4);
@@ -323,7 +327,7 @@
 }
 
 impl Region {
-    /// Runs with the same load on each VM.
+    /// Runs for `time` with the same load on each VM and immediate delivery.
     fn run_with(&mut self, time: Duration, load: &UpstreamLoads) {
         let end = self.now + time;
         while self.now < end {
@@ -332,12 +336,12 @@
                 if self.due[vm] > self.now {
                     continue;
                 }
-                let messages = self.vms[vm].tick(self.now, load.clone(), Vec::new(), &[]);
+                let messages = self.vms[vm].build_messages(self.now, load.clone(), Vec::new(), &[]);
                 self.sent[vm] += messages.len() as u64;
                 for (to, message) in messages {
                     self.deliver(vm, &to, message);
                 }
-                let every = self.vms[vm].every();
+                let every = self.vms[vm].message_interval();
                 self.due[vm] = self.now + every.mul_f64(self.rng.random_range(0.8..1.2));
             }
         }
@@ -346,6 +350,6 @@
     fn deliver(&mut self, from: usize, to: &VmId, message: LoadMessage) {
         let to = (0..self.vms.len()).find(|other| name(*other) == *to);
         let to = to.expect("a VM of the region");
-        self.vms[to].receive(self.now, &name(from), message);
+        self.vms[to].handle_message(self.now, &name(from), message);
     }
 }
--- a/crates/ebonystand-wire/src/peer_message.rs
+++ b/crates/ebonystand-wire/src/peer_message.rs
@@ -80,7 +80,7 @@
     /// cost more than is gained.
     pub(crate) fn bytes(&self) -> usize {
         match self {
-            Self::Load(load) => load.bytes(),
+            Self::Load(load) => load.max_encoded_len(),
             other => postcard::experimental::serialized_size(other).unwrap_or(Self::UNKNOWN),
         }
     }
--- a/crates/ebonystand-wire/src/send_queue.rs
+++ b/crates/ebonystand-wire/src/send_queue.rs
@@ -48,7 +48,7 @@
             PeerMessage::Load(load) => {
                 let waiting = self.short.take(|waiting| waiting.is_load_like(&load));
                 match waiting {
-                    Some(PeerMessage::Load(older)) => PeerMessage::Load(load.after(older)),
+                    Some(PeerMessage::Load(older)) => PeerMessage::Load(load.merge_unsent(older)),
                     _ => PeerMessage::Load(load),
                 }
             }
--- a/crates/ebonystand-wire/tests/send_queue.rs
+++ b/crates/ebonystand-wire/tests/send_queue.rs
@@ -22,7 +22,7 @@
     PeerMessage::Load(LoadMessage::Region {
         cached,
         included,
-        pressures: Vec::new(),
+        region_latencies: Vec::new(),
         under_way: loads(included),
     })
 }
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -442,7 +442,7 @@
     let record = &entry.record;
     let serves = record.takes_callers || record.forwards.is_some();
     (*record.region == *region && serves).then(|| RegionVm {
-        stays: !record.leaving,
+        is_staying: !record.leaving,
         vm: record.vm.clone(),
         zone: record.zone.clone(),
     })
