--- a/crates/ebonystand-core/benches/choice.rs
+++ b/crates/ebonystand-core/benches/choice.rs
@@ -3,7 +3,7 @@
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
     ebonystand_core::{
-        ChoiceQuery, ColdStartLimits, EngineTerms, ListedUpstream, Place, Prompt, PromptPart,
+        ChoiceQuery, ColdStartLimits, EngineSpec, ListedUpstream, Place, Prompt, PromptPart,
         SharedPrefix, UpstreamBook,
     },
     std::{
@@ -36,7 +36,7 @@
     });
     book.update_list(Duration::ZERO, listed.collect());
     for shared in 0..100 {
-        let prefixes = SharedPrefix::of(&prompt(shared));
+        let prefixes = SharedPrefix::list_in(&prompt(shared));
         for holder in 0..HOLDERS {
             let engine = name((shared + holder * 5) % engines);
             book.record_cached_prefixes(NOW, &engine, &prefixes, None);
@@ -84,7 +84,7 @@
                 let query = ChoiceQuery {
                     first_byte_target: Duration::from_millis(1_200),
                     cold: ColdStartLimits::default(),
-                    engine: Some(EngineTerms::default()),
+                    engine: Some(EngineSpec::default()),
                     evacuated: &evacuated,
                     excluded: &[],
                     homes: None,
--- a/crates/ebonystand-core/src/gateway/choice_query.rs
+++ b/crates/ebonystand-core/src/gateway/choice_query.rs
@@ -8,7 +8,7 @@
     /// Load limits of the service's upstreams while they are cold.
     pub cold: ColdStartLimits,
     /// Cache and link of the service's engines; `None` for a plain service.
-    pub engine: Option<EngineTerms>,
+    pub engine: Option<EngineSpec>,
     /// Evacuated zones, whose upstreams get no requests.
     pub evacuated: &'a BTreeSet<ZoneId>,
     /// Upstreams that already failed the request and must not get it again.
--- a/crates/ebonystand-core/src/gateway/gateway_service.rs
+++ b/crates/ebonystand-core/src/gateway/gateway_service.rs
@@ -9,7 +9,7 @@
     /// Connections that one upstream accepts from all VMs together.
     pub connections: u64,
     /// Cache and link of the service's model engines; `None` for a plain service.
-    pub engine: Option<EngineTerms>,
+    pub engine: Option<EngineSpec>,
     /// HTTP path of the upstreams' health check.
     pub health_path: Box<str>,
     /// Name by which routes and upstreams refer to the service.
--- a/crates/ebonystand-core/src/gateway/upstream_book.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_book.rs
@@ -125,7 +125,8 @@
             AttemptEnd::Unreachable => {
                 known.start_backoff(now);
                 known.sent_prefixes.clear();
-                self.caches.forget(&FxHashSet::from_iter([known.key]));
+                self.caches
+                    .remove_engines(&FxHashSet::from_iter([known.key]));
             }
         }
     }
@@ -171,20 +172,21 @@
                 instance: UpstreamKey::from(&**instance),
                 prefix: prefix.id,
             };
-            self.caches.begun(now, &cached);
+            self.caches.record_cached(now, &cached);
         }
     }
 
     /// Takes the newly cached prefixes to be sent to other regions; one VM of each region is
     /// enough.
     pub fn take_caches_for_regions(&mut self) -> Vec<CachedPrefix> {
-        self.caches.take_for_others()
+        self.caches.take_for_other_regions()
     }
 
     /// Records the cached prefixes that a VM of another region reports.
     pub fn receive_region_caches(&mut self, now: Duration, cached: Vec<CachedPrefix>) {
         if self.is_enabled(Mechanism::ToldCaches) {
-            self.caches.told(now, cached, CacheNews::Away);
+            self.caches
+                .record_reported(now, cached, CacheNewsOrigin::OtherRegion);
         }
     }
 
@@ -204,20 +206,20 @@
                 self.record_region_latency(at, &reported.region, reported.service.clone(), latency);
             }
         }
-        let (cached, news) = message.take_cached();
+        let (cached, origin) = message.take_cached();
         let fresh = match self.is_enabled(Mechanism::ToldCaches) {
-            true => self.caches.told(now, cached, news),
+            true => self.caches.record_reported(now, cached, origin),
             false => Vec::new(),
         };
         if self.is_enabled(Mechanism::PeerLoads) {
             self.exchange.handle_message(now, from, message);
-            self.exchange.forward_cached(&fresh, news);
+            self.exchange.forward_cached(&fresh, origin);
         }
     }
 
     /// Returns the load messages to be sent to other VMs of the region now.
     pub fn build_load_messages(&mut self, now: Duration) -> Vec<(VmId, LoadMessage)> {
-        self.caches.sweep(now);
+        self.caches.remove_expired(now);
         let cached = self.caches.take_for_region();
         let latencies = self.recent_region_latencies(now);
         let messages = self
@@ -225,7 +227,7 @@
             .build_messages(now, self.under_way(), cached, &latencies);
         if !self.exchange.is_relay() {
             // Only the relay sends cached prefixes to the other regions.
-            self.caches.take_for_others();
+            self.caches.take_for_other_regions();
         }
         messages
     }
@@ -291,7 +293,7 @@
             next.insert(instance, known);
         }
         emptied.extend(self.upstreams.values().map(|known| known.key));
-        self.caches.forget(&emptied);
+        self.caches.remove_engines(&emptied);
         self.upstreams = next;
         let known = self.upstreams.iter();
         self.instances_by_key = known
--- a/crates/ebonystand-core/src/gateway/upstream_choice.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_choice.rs
@@ -37,7 +37,7 @@
 
 /// Shared prefix of a prompt, with the engines that cache it.
 struct PrefixSources<'a> {
-    holders: Vec<ImportSource<'a>>,
+    sources: Vec<ImportSource<'a>>,
     prefix: SharedPrefix,
 }
 
@@ -49,7 +49,7 @@
     /// Whether other engines may import from this one.
     can_export: bool,
     /// When the prefix was last used on the engine.
-    used: Duration,
+    last_used: Duration,
 }
 
 impl UpstreamBook {
@@ -133,7 +133,7 @@
         if !self.is_enabled(Mechanism::EndInTime) {
             return Duration::ZERO;
         }
-        let end = delay + gap * engine.events(prompt.output);
+        let end = delay + gap * engine.event_count(prompt.output);
         end.saturating_sub(query.remaining_time * Self::END_TARGET_PERMILLE / 1_000)
     }
 
@@ -301,7 +301,7 @@
             .engine
             .filter(|_| self.is_enabled(Mechanism::Imports))?;
         let (source, tokens) = placement.shared_prefixes.iter().find_map(|part| {
-            let source = Self::nearest_source(known, &part.holders)?;
+            let source = Self::nearest_source(known, &part.sources)?;
             Some((source, part.prefix.tokens.saturating_sub(cached)))
         })?;
         let same_zone = source.listed.zone == known.listed.zone;
@@ -322,11 +322,11 @@
     /// prefix. A prefix read for requests with homes leaves its region only for those homes.
     fn nearest_source<'a>(
         known: &KnownUpstream,
-        holders: &[ImportSource<'a>],
+        sources: &[ImportSource<'a>],
     ) -> Option<&'a KnownUpstream> {
         let to = known.region.as_ref();
         let may_leave = |homes: &BTreeSet<RegionId>| to.is_some_and(|to| homes.contains(to));
-        let sources = holders.iter().filter(|holder| {
+        let sources = sources.iter().filter(|holder| {
             let stays = holder.known.region.as_ref() == to;
             holder.can_export
                 && holder.known.key != known.key
@@ -335,7 +335,7 @@
         let best = sources.max_by_key(|holder| {
             let same_zone = holder.known.listed.zone == known.listed.zone;
             let same_region = holder.known.region.as_ref() == to;
-            (same_zone, same_region, holder.used)
+            (same_zone, same_region, holder.last_used)
         });
         best.map(|holder| holder.known)
     }
@@ -369,23 +369,23 @@
                 .max_by_key(|known| rendezvous.weight(&known.listed.instance));
             owner.map(|known| known.key)
         });
-        let holder = |export: Export<'a>| {
+        let source = |holder: HolderView<'a>| {
             let known = self
                 .upstreams
-                .get(self.instances_by_key.get(&export.instance)?)?;
+                .get(self.instances_by_key.get(&holder.instance)?)?;
             Some(ImportSource {
-                homes: export.homes,
+                homes: holder.homes,
                 known,
                 can_export: Self::can_export(now, query, known),
-                used: export.used,
+                last_used: holder.last_used,
             })
         };
-        let prefixes = SharedPrefix::of(prompt).into_iter();
+        let prefixes = SharedPrefix::list_in(prompt).into_iter();
         let prefixes = prefixes.map(|prefix| PrefixSources {
-            holders: self
+            sources: self
                 .caches
                 .holders(now, prefix.id)
-                .filter_map(holder)
+                .filter_map(source)
                 .collect(),
             prefix,
         });
@@ -429,7 +429,7 @@
         let others = self.peer_load(known);
         let prompt = placement.prompt;
         let is_cached =
-            |part: &&PrefixSources| part.holders.iter().any(|h| h.known.key == known.key);
+            |part: &&PrefixSources| part.sources.iter().any(|h| h.known.key == known.key);
         let reported = placement.shared_prefixes.iter().filter(is_cached);
         let reported = reported.map(|part| part.prefix.tokens).max().unwrap_or(0);
         let cached = known.sent_prefixes.cached_tokens(prompt).max(reported);
--- a/crates/ebonystand-core/src/load_exchange/load_message.rs
+++ b/crates/ebonystand-core/src/load_exchange/load_message.rs
@@ -52,7 +52,7 @@
         let (mut merged, _) = older.take_cached();
         let cached = self.cached_mut();
         merged.append(cached);
-        let excess = merged.len().saturating_sub(CacheDirectory::MOST);
+        let excess = merged.len().saturating_sub(CacheDirectory::MAX_PREFIXES);
         merged.drain(..excess);
         *cached = merged;
         self
@@ -87,12 +87,12 @@
     }
 
     /// Takes the cached prefixes out of the message, with their origin.
-    pub(crate) fn take_cached(&mut self) -> (Vec<CachedPrefix>, CacheNews) {
+    pub(crate) fn take_cached(&mut self) -> (Vec<CachedPrefix>, CacheNewsOrigin) {
         let (cached, origin) = match self {
             Self::Group { cached, .. } | Self::Region { cached, .. } => {
-                (cached, CacheNews::Relayed)
+                (cached, CacheNewsOrigin::Relay)
             }
-            Self::Report { cached, .. } => (cached, CacheNews::Reported),
+            Self::Report { cached, .. } => (cached, CacheNewsOrigin::Reporter),
         };
         (std::mem::take(cached), origin)
     }
--- a/crates/ebonystand-core/src/load_exchange/state.rs
+++ b/crates/ebonystand-core/src/load_exchange/state.rs
@@ -2,7 +2,7 @@
 
 /// One VM's side of the load exchange in its region.
 ///
-/// A VM either reports to a relay or is a relay itself; in a small region every VM is one. A relay adds up the reports that it
+/// A VM either reports to a relay or is a relay itself; in a small region every VM that is not about to stop is one. A relay adds up the reports that it
 /// receives, sends the sum to the other relays and returns the sum over the region to the VMs that
 /// report to it. A VM skips a relay that has fallen silent; the reports that such a relay has
 /// received expire soon.
@@ -157,12 +157,12 @@
 
     /// Queues cached prefixes that arrived with a message to be passed on, if this VM is a relay.
     /// `origin` tells which VMs know them already.
-    pub fn forward_cached(&mut self, cached: &[CachedPrefix], origin: CacheNews) {
+    pub fn forward_cached(&mut self, cached: &[CachedPrefix], origin: CacheNewsOrigin) {
         if !self.is_relay() {
             return;
         }
         Self::append_bounded(&mut self.cached_for_reporters, cached);
-        if origin == CacheNews::Reported {
+        if origin == CacheNewsOrigin::Reporter {
             Self::append_bounded(&mut self.cached_for_relays, cached);
         }
     }
@@ -203,10 +203,10 @@
         }
     }
 
-    /// Appends prefixes to a queue that holds at most [`CacheDirectory::MOST`]; the rest is
+    /// Appends prefixes to a queue that holds at most [`CacheDirectory::MAX_PREFIXES`]; the rest is
     /// dropped.
     fn append_bounded(queue: &mut Vec<CachedPrefix>, cached: &[CachedPrefix]) {
-        let room = CacheDirectory::MOST.saturating_sub(queue.len());
+        let room = CacheDirectory::MAX_PREFIXES.saturating_sub(queue.len());
         queue.extend(cached.iter().take(room).cloned());
     }
 
--- a/crates/ebonystand-core/src/prefix_cache/cache_directory.rs
+++ b/crates/ebonystand-core/src/prefix_cache/cache_directory.rs
@@ -1,76 +1,79 @@
 use super::*;
 
-/// Which engines keep which shared beginnings of prompts.
+/// Directory of the engines that cache shared prompt prefixes.
 ///
-/// A VM knows it of the answers that it relayed: an engine that has begun an answer has read the whole
-/// prompt. The rest it is told by the other VMs. All of it is a hint: an engine may have dropped a
-/// beginning for a newer one, and then reads it again as if nothing had been known.
+/// A VM learns of them from the answers that it relays, since an engine that has begun an answer
+/// has read the whole prompt, and from the reports of other VMs. All entries are hints: an engine
+/// may have evicted a prefix for a newer one, and then reads it again as if nothing had been known.
 #[derive(Clone, Debug, Default)]
 pub struct CacheDirectory {
-    /// What VMs of other regions are still to be told.
-    for_others: Vec<CachedPrefix>,
-    /// What VMs of the own region are still to be told.
+    /// Newly cached prefixes to be sent to other regions.
+    for_other_regions: Vec<CachedPrefix>,
+    /// Newly cached prefixes to be sent to VMs of the own region.
     for_region: Vec<CachedPrefix>,
-    holders: FxHashMap<PrefixId, Vec<Holder>>,
-    swept: Duration,
+    /// Entries by prefix.
+    holders: FxHashMap<PrefixId, Vec<PrefixHolder>>,
+    /// When expired entries were last removed.
+    last_sweep: Duration,
 }
 
-/// An engine that keeps a beginning, as far as the choice of one that hands it out looks at it.
+/// Engine that caches a prefix, as seen by the choice of an import source.
 #[derive(Clone, Copy, Debug)]
-pub struct Export<'a> {
-    /// Regions that may keep the beginning; `None` if all may.
+pub struct HolderView<'a> {
+    /// Regions that may cache the prefix; `None` if all may.
     pub homes: Option<&'a BTreeSet<RegionId>>,
-    /// The engine.
+    /// Short name of the engine.
     pub instance: UpstreamKey,
-    /// When the beginning was last used there.
-    pub used: Duration,
+    /// When the prefix was last used on the engine.
+    pub last_used: Duration,
 }
 
-/// An engine that keeps a beginning.
+/// Entry of the directory: an engine that caches a prefix.
 #[derive(Clone, Debug)]
-struct Holder {
-    /// Regions that may keep what it keeps; `None` if all may.
+struct PrefixHolder {
+    /// Regions that may cache the prefix; `None` if all may.
     homes: Option<BTreeSet<RegionId>>,
     instance: UpstreamKey,
-    /// When the other VMs were told of it last; none if they never were.
-    told: Option<Duration>,
-    /// When a request with this beginning was last known to have begun there.
-    used: Duration,
+    /// When the entry was last reported by or to the other VMs; `None` if never.
+    last_reported: Option<Duration>,
+    /// When an answer to a request with this prefix was last known to have begun on the engine.
+    last_used: Duration,
 }
 
 impl CacheDirectory {
-    /// A beginning that has not been used for so long counts as dropped: an engine at its peak fills
-    /// its memory with other prompts in an estimated 15 to 25 s.
-    const LIFE: Duration = Duration::from_secs(20);
-    /// Beginnings that are known at most: with three engines each, of some 80 bytes, 2 MB. Further ones
-    /// are read as if engines handed nothing over.
-    pub const MOST: usize = 8_192;
-    /// Time after which the others are told again of a beginning that goes on being used, so that they
-    /// hold it for kept as long as it is.
-    const TOLD_EVERY: Duration = Duration::from_secs(5);
-    /// Several VMs that use a beginning at the same time tell of it before they hear of each other; what was
-    /// told within this time is not passed on.
-    const FRESH_AFTER: Duration = Duration::from_secs(1);
-    /// Time between two looks for what counts as dropped.
-    const SWEEP_EVERY: Duration = Duration::from_secs(1);
+    /// Time without use after which a prefix counts as evicted: at peak load, an engine fills its
+    /// memory with other prompts in an estimated 15 to 25 s.
+    const PREFIX_LIFETIME: Duration = Duration::from_secs(20);
+    /// Most prefixes in the directory: with three engines each, at some 80 bytes per entry, 2 MB.
+    /// Further prefixes are read as if engines exchanged nothing.
+    pub const MAX_PREFIXES: usize = 8_192;
+    /// Interval at which a prefix that stays in use is reported again, so that the other VMs do not
+    /// drop their entries.
+    const REPORT_INTERVAL: Duration = Duration::from_secs(5);
+    /// Time after a report in which further reports of the same entry are not passed on: several
+    /// VMs that use a prefix at the same time report it before they hear of one another.
+    const DUPLICATE_WINDOW: Duration = Duration::from_secs(1);
+    /// Time between two removals of expired entries.
+    const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-    /// Notes that an engine has begun an answer to a prompt with this beginning.
-    pub fn begun(&mut self, now: Duration, cached: &CachedPrefix) {
-        let Some(holder) = self.holder(now, cached) else {
+    /// Records that an engine has begun an answer to a prompt with this prefix, and queues a report
+    /// if one is due.
+    pub fn record_cached(&mut self, now: Duration, cached: &CachedPrefix) {
+        let Some(holder) = self.get_or_add_holder(now, cached) else {
             return;
         };
-        let is_due = |told: Duration| now >= told + Self::TOLD_EVERY;
-        if !holder.told.is_none_or(is_due) {
+        let is_due = |reported: Duration| now >= reported + Self::REPORT_INTERVAL;
+        if !holder.last_reported.is_none_or(is_due) {
             return;
         }
-        holder.told = Some(now);
-        Self::tell(&mut self.for_others, cached);
-        Self::tell(&mut self.for_region, cached);
+        holder.last_reported = Some(now);
+        Self::push_bounded(&mut self.for_other_regions, cached);
+        Self::push_bounded(&mut self.for_region, cached);
     }
 
-    /// Forgets all that engines keep: they are gone, or have become cold. All are forgotten in one pass over
-    /// what is known, since a zone's engines become cold together.
-    pub fn forget(&mut self, instances: &FxHashSet<UpstreamKey>) {
+    /// Removes all entries of engines that are gone or have become cold. All engines are removed in
+    /// one pass over the directory, since the engines of a zone become cold together.
+    pub fn remove_engines(&mut self, instances: &FxHashSet<UpstreamKey>) {
         if instances.is_empty() {
             return;
         }
@@ -80,84 +83,93 @@
         });
     }
 
-    /// Engines that keep a beginning.
+    /// Returns the engines that cache a prefix.
     pub fn holders<'a>(
         &'a self,
         now: Duration,
         prefix: PrefixId,
-    ) -> impl Iterator<Item = Export<'a>> {
+    ) -> impl Iterator<Item = HolderView<'a>> {
         let holders = self.holders.get(&prefix).into_iter().flatten();
         let live = holders.filter(move |holder| Self::is_live(now, holder));
-        live.map(|holder| Export {
+        live.map(|holder| HolderView {
             homes: holder.homes.as_ref(),
             instance: holder.instance,
-            used: holder.used,
+            last_used: holder.last_used,
         })
     }
 
-    /// Whether an engine keeps a beginning.
+    /// Returns whether an engine caches a prefix.
     #[must_use]
-    pub fn keeps(&self, now: Duration, prefix: PrefixId, instance: &str) -> bool {
+    pub fn is_cached(&self, now: Duration, prefix: PrefixId, instance: &str) -> bool {
         let instance = UpstreamKey::from(instance);
         let mut holders = self.holders(now, prefix);
-        holders.any(|export| export.instance == instance)
+        holders.any(|holder| holder.instance == instance)
     }
 
-    /// Forgets what has not been used for long.
-    pub fn sweep(&mut self, now: Duration) {
-        if now < self.swept + Self::SWEEP_EVERY {
+    /// Removes the entries that have not been used for [`Self::PREFIX_LIFETIME`]. Calls within a
+    /// second of the last removal do nothing.
+    pub fn remove_expired(&mut self, now: Duration) {
+        if now < self.last_sweep + Self::SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         self.holders.retain(|_, holders| {
             holders.retain(|holder| Self::is_live(now, holder));
             !holders.is_empty()
         });
     }
 
-    /// What VMs of other regions are to be told since the last call. One of each region is enough: it
-    /// tells the others there.
-    pub fn take_for_others(&mut self) -> Vec<CachedPrefix> {
-        std::mem::take(&mut self.for_others)
+    /// Takes the reports queued for other regions since the last call. One VM of each region is
+    /// enough, since it passes them on there.
+    pub fn take_for_other_regions(&mut self) -> Vec<CachedPrefix> {
+        std::mem::take(&mut self.for_other_regions)
     }
 
-    /// What VMs of the own region are to be told since the last call.
+    /// Takes the reports queued for VMs of the own region since the last call.
     pub fn take_for_region(&mut self) -> Vec<CachedPrefix> {
         std::mem::take(&mut self.for_region)
     }
 
-    /// Takes what another VM tells; what the own region has not just been told, and is to be.
-    pub fn told(
+    /// Records the prefixes that another VM reports, queues those to be passed on, and returns
+    /// those not reported before or not recently. `origin` tells which VMs know them already.
+    pub fn record_reported(
         &mut self,
         now: Duration,
         cached: Vec<CachedPrefix>,
-        news: CacheNews,
+        origin: CacheNewsOrigin,
     ) -> Vec<CachedPrefix> {
         let mut fresh = Vec::new();
         for cached in cached {
-            let Some(holder) = self.holder(now, &cached) else {
+            let Some(holder) = self.get_or_add_holder(now, &cached) else {
                 continue;
             };
-            let is_fresh = |told: Duration| now >= told + Self::FRESH_AFTER;
-            let is_fresh = holder.told.is_none_or(is_fresh);
-            holder.told = Some(now);
+            let is_fresh = |reported: Duration| now >= reported + Self::DUPLICATE_WINDOW;
+            let is_fresh = holder.last_reported.is_none_or(is_fresh);
+            holder.last_reported = Some(now);
             if !is_fresh {
                 continue;
             }
-            match news {
-                CacheNews::Away => Self::tell(&mut self.for_region, &cached),
-                CacheNews::Relayed => {}
-                CacheNews::Reported => Self::tell(&mut self.for_others, &cached),
+            match origin {
+                CacheNewsOrigin::OtherRegion => Self::push_bounded(&mut self.for_region, &cached),
+                CacheNewsOrigin::Relay => {}
+                CacheNewsOrigin::Reporter => {
+                    Self::push_bounded(&mut self.for_other_regions, &cached)
+                }
             }
             fresh.push(cached);
         }
         fresh
     }
 
-    /// The account of an engine and a beginning that it keeps; `None` if there are too many. What
-    /// a request without homes has used as well belongs to that one, too.
-    fn holder(&mut self, now: Duration, cached: &CachedPrefix) -> Option<&mut Holder> {
-        let is_full = self.holders.len() >= Self::MOST;
+    /// Returns the entry of an engine and a prefix with its use updated, or adds one; `None` if the
+    /// directory is full. A prefix that a request without homes has used as well is no longer bound
+    /// to homes.
+    fn get_or_add_holder(
+        &mut self,
+        now: Duration,
+        cached: &CachedPrefix,
+    ) -> Option<&mut PrefixHolder> {
+        let is_full = self.holders.len() >= Self::MAX_PREFIXES;
         if is_full && !self.holders.contains_key(&cached.prefix) {
             return None;
         }
@@ -165,31 +177,32 @@
         let mut known = holders.iter();
         let known = known.position(|known| known.instance == cached.instance);
         let index = known.unwrap_or_else(|| {
-            holders.push(Holder {
+            holders.push(PrefixHolder {
                 homes: cached.homes.clone(),
                 instance: cached.instance,
-                told: None,
-                used: now,
+                last_reported: None,
+                last_used: now,
             });
             holders.len() - 1
         });
         let holder = holders.get_mut(index)?;
-        holder.used = now;
+        holder.last_used = now;
         if cached.homes.is_none() && holder.homes.take().is_some() {
-            holder.told = None;
+            holder.last_reported = None;
         }
         Some(holder)
     }
 
-    /// Adds to what is still to be told. A VM that tells nobody, having no other region, would gather it for
-    /// ever; what does not fit is told when it is due again.
-    fn tell(untold: &mut Vec<CachedPrefix>, cached: &CachedPrefix) {
-        if untold.len() < Self::MOST {
-            untold.push(cached.clone());
+    /// Adds a report to a queue. A VM without another region to report to would fill the queue
+    /// without end, so it is bounded; a report that does not fit is sent when it is due again.
+    fn push_bounded(queue: &mut Vec<CachedPrefix>, cached: &CachedPrefix) {
+        if queue.len() < Self::MAX_PREFIXES {
+            queue.push(cached.clone());
         }
     }
 
-    fn is_live(now: Duration, holder: &Holder) -> bool {
-        now.saturating_sub(holder.used) < Self::LIFE
+    /// Returns whether an entry has been used recently enough to count.
+    fn is_live(now: Duration, holder: &PrefixHolder) -> bool {
+        now.saturating_sub(holder.last_used) < Self::PREFIX_LIFETIME
     }
 }
--- a/crates/ebonystand-core/src/prefix_cache/cache_source.rs
+++ b/crates/ebonystand-core/src/prefix_cache/cache_source.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// Engine from which another one imports what it keeps of a prompt.
+/// Engine from which another one imports a cached prompt prefix.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CacheSource {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// The engine.
+    /// Instance of the engine.
     pub instance: UpstreamId,
-    /// Tokens that it keeps and the importing engine is not known to.
+    /// Number of tokens to import: those that this engine caches and the importing one probably
+    /// does not.
     pub tokens: Tokens,
 }
--- a/crates/ebonystand-core/src/prefix_cache/cached_news.rs
+++ b/crates/ebonystand-core/src/prefix_cache/cached_news.rs
@@ -1,7 +1,7 @@
-//! Compact form of what VMs tell one another that engines keep, for serde's `with`.
+//! Compact encoding of cached prefixes in messages between VMs, for serde's `with`.
 //!
-//! Relays send each word to a dozen VMs over links of 10 Mbit/s. Words with the same homes are gathered, and
-//! each then takes 13 bytes.
+//! Relays send each entry to a dozen VMs over links of 10 Mbit/s. Entries with the same homes are
+//! grouped, and each then takes 13 bytes.
 
 use {
     super::*,
@@ -9,37 +9,38 @@
 };
 
 type Homes = Option<BTreeSet<RegionId>>;
-/// Hashes are no shorter as variable-length integers.
-type Word = (UpstreamKey, [u8; 8]);
+/// Engine and prefix, the latter as fixed-size bytes: as a variable-length integer, a hash is no
+/// shorter.
+type CacheEntry = (UpstreamKey, [u8; 8]);
 
-/// Writes the compact form.
+/// Serializes the prefixes in the compact encoding.
 ///
 /// # Errors
-/// Those of the serializer.
+/// Returns the errors of the serializer.
 pub fn serialize<S: Serializer>(cached: &[CachedPrefix], serializer: S) -> Result<S::Ok, S::Error> {
-    let mut gathered = BTreeMap::<&Homes, Vec<Word>>::new();
+    let mut groups = BTreeMap::<&Homes, Vec<CacheEntry>>::new();
     for CachedPrefix {
         homes,
         instance,
         prefix,
     } in cached
     {
-        let words = gathered.entry(homes).or_default();
-        words.push((*instance, prefix.to_le_bytes()));
+        let entries = groups.entry(homes).or_default();
+        entries.push((*instance, prefix.to_le_bytes()));
     }
-    serializer.collect_seq(gathered)
+    serializer.collect_seq(groups)
 }
 
-/// Reads the compact form.
+/// Deserializes prefixes from the compact encoding.
 ///
 /// # Errors
-/// Those of the deserializer.
+/// Returns the errors of the deserializer, also for bytes that are not in this encoding.
 pub fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<CachedPrefix>, D::Error> {
-    let gathered = Vec::<(Homes, Vec<Word>)>::deserialize(deserializer)?;
-    let cached = gathered.into_iter().flat_map(|(homes, words)| {
-        words
+    let groups = Vec::<(Homes, Vec<CacheEntry>)>::deserialize(deserializer)?;
+    let cached = groups.into_iter().flat_map(|(homes, entries)| {
+        entries
             .into_iter()
             .map(move |(instance, prefix)| CachedPrefix {
                 homes: homes.clone(),
--- a/crates/ebonystand-core/src/prefix_cache/cached_prefix.rs
+++ b/crates/ebonystand-core/src/prefix_cache/cached_prefix.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// A shared beginning of prompts that an engine keeps, as VMs tell one another.
+/// Report that an engine caches a shared prompt prefix, as VMs exchange it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct CachedPrefix {
-    /// Regions that may keep it; `None` if all may.
+    /// Regions that may cache the prefix; `None` if all may.
     pub homes: Option<BTreeSet<RegionId>>,
-    /// The engine.
+    /// Short name of the engine.
     pub instance: UpstreamKey,
-    /// The beginning.
+    /// Hash that identifies the prefix.
     pub prefix: PrefixId,
 }
--- a/crates/ebonystand-core/src/prefix_cache/shared_prefix.rs
+++ b/crates/ebonystand-core/src/prefix_cache/shared_prefix.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// A beginning of a prompt that other prompts share.
+/// Prefix of a prompt that other prompts share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SharedPrefix {
-    /// Its name.
+    /// Hash of the model and the parts that make up the prefix.
     pub id: PrefixId,
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub tokens: Tokens,
 }
 
 impl SharedPrefix {
-    /// All beginnings of a prompt that others share, the longest first. A name covers the model and the parts in
-    /// their order: an engine uses what it keeps of a part only after all parts before it.
+    /// Returns all shared prefixes of a prompt, the longest first. The hash covers the model and
+    /// the parts in their order, because an engine can use a cached part only after all parts
+    /// before it.
     #[must_use]
-    pub fn of(prompt: &Prompt) -> Vec<Self> {
+    pub fn list_in(prompt: &Prompt) -> Vec<Self> {
         let Some((_, shared)) = prompt.parts.split_last() else {
             return Vec::new();
         };
--- a/crates/ebonystand-core/tests/gateway/caches.rs
+++ b/crates/ebonystand-core/tests/gateway/caches.rs
@@ -12,7 +12,7 @@
 }
 
 /// Returns the cached prefixes that a book reports to each VM of its region.
-fn news(book: &mut UpstreamBook, now: Duration) -> Vec<(VmId, Vec<CachedPrefix>)> {
+fn cache_reports(book: &mut UpstreamBook, now: Duration) -> Vec<(VmId, Vec<CachedPrefix>)> {
     let messages = book.build_load_messages(now).into_iter();
     let news = messages.map(|(vm, message)| match message {
         LoadMessage::Group { cached, .. }
@@ -23,7 +23,7 @@
 }
 
 fn keep(book: &mut UpstreamBook, now: Duration, sets: &Sets, instance: &str, prompt: &Prompt) {
-    let prefixes = SharedPrefix::of(prompt);
+    let prefixes = SharedPrefix::list_in(prompt);
     book.record_cached_prefixes(now, &instance.into(), &prefixes, sets.homes.as_ref());
 }
 
@@ -195,7 +195,7 @@
     let prompt = prompt(7, 1);
     keep(&mut book, ms(0), &sets, "v1", &prompt);
     let mut query = sets.query(Some(&prompt));
-    query.engine = Some(EngineTerms::default());
+    query.engine = Some(EngineSpec::default());
     let choice = book.choose_target(ms(1), &query);
     assert!(
         matches!(choice, TargetChoice::Upstream { import: None, .. }),
@@ -227,7 +227,10 @@
     ] {
         book.set_vms(&region_vms(region.map(str::to_owned)));
     }
-    assert_eq!(news(&mut first, ms(50)), [("vm4".into(), away.clone())]);
+    assert_eq!(
+        cache_reports(&mut first, ms(50)),
+        [("vm4".into(), away.clone())]
+    );
     second.receive_region_caches(ms(60), away);
     assert_eq!(second.take_caches_for_regions(), []);
     let messages = second.build_load_messages(ms(150));
@@ -236,7 +239,7 @@
     };
     assert_eq!(&**to, "vm3");
     third.receive_load_message(ms(160), &"vm2".into(), message.clone());
-    assert_eq!(news(&mut third, ms(160)), []);
+    assert_eq!(cache_reports(&mut third, ms(160)), []);
     assert_eq!(third.take_caches_for_regions(), []);
     assert!(import(&third, ms(161), &sets, &prompt).1.is_some());
     keep(&mut first, ms(6_000), &sets, "v1", &prompt);
@@ -296,7 +299,7 @@
         relay.take_caches_for_regions().as_slice(),
         std::slice::from_ref(&cached)
     );
-    let told = news(&mut relay, ms(50));
+    let told = cache_reports(&mut relay, ms(50));
     assert_eq!(told.len(), 8);
     assert!(told.iter().all(|(_, news)| *news == [cached.clone()]));
 }
@@ -312,13 +315,13 @@
         prefix,
     };
     for prefix in 0..20_000 {
-        directory.begun(ms(0), &cached(prefix));
+        directory.record_cached(ms(0), &cached(prefix));
     }
-    let known = (0..20_000).filter(|prefix| directory.keeps(ms(1), *prefix, "u1"));
-    assert_eq!(known.count(), CacheDirectory::MOST);
-    directory.sweep(ms(60_000));
-    directory.begun(ms(60_000), &cached(7));
-    assert!(directory.keeps(ms(60_000), 7, "u1"));
+    let known = (0..20_000).filter(|prefix| directory.is_cached(ms(1), *prefix, "u1"));
+    assert_eq!(known.count(), CacheDirectory::MAX_PREFIXES);
+    directory.remove_expired(ms(60_000));
+    directory.record_cached(ms(60_000), &cached(7));
+    assert!(directory.is_cached(ms(60_000), 7, "u1"));
 }
 
 /// A VM of a fleet with a single region has no other region to report to. The reports pending for
@@ -332,9 +335,12 @@
         prefix: 7,
     };
     for n in 0..20_000 {
-        directory.begun(ms(n * 6_000), &cached);
+        directory.record_cached(ms(n * 6_000), &cached);
     }
-    assert_eq!(directory.take_for_others().len(), CacheDirectory::MOST);
+    assert_eq!(
+        directory.take_for_other_regions().len(),
+        CacheDirectory::MAX_PREFIXES
+    );
 }
 
 /// Reading a part of 90 tokens takes as long as setting up an import. The part must be imported all
--- a/crates/ebonystand-core/tests/gateway/main.rs
+++ b/crates/ebonystand-core/tests/gateway/main.rs
@@ -18,7 +18,7 @@
 };
 
 /// Engines that transfer a cached token to another engine in 0.3 µs.
-pub(crate) const ENGINE: EngineTerms = EngineTerms {
+pub(crate) const ENGINE: EngineSpec = EngineSpec {
     cache_tokens: 400_000,
     event_tokens: 10,
     link_mbps: 400_000,
--- a/crates/ebonystand/src/gateway/attempt.rs
+++ b/crates/ebonystand/src/gateway/attempt.rs
@@ -33,7 +33,7 @@
         let mut book = node.gateway.book.borrow_mut();
         book.record_sent(started, query, instance, unread);
         let prompt = query.prompt;
-        let prefixes = prompt.map(SharedPrefix::of);
+        let prefixes = prompt.map(SharedPrefix::list_in);
         let prefixes = prefixes.unwrap_or_default();
         Self {
             aim: query.first_byte_target,
--- a/crates/ebonystand/tests/integration/routes.rs
+++ b/crates/ebonystand/tests/integration/routes.rs
@@ -8,7 +8,7 @@
         vm::Vm,
     },
     ebonystand_core::{
-        CallKind, Change, ColdStartLimits, EngineTerms, GatewayRoute, GatewayService,
+        CallKind, Change, ColdStartLimits, EngineSpec, GatewayRoute, GatewayService,
         GatewayWorkspace, KeyHash, Quota, QuotaUnit, Region, Routing, Service, Upstream,
         UpstreamKind, WeightedService,
     },
@@ -619,7 +619,7 @@
     let setting = Setting::new(vec![("a", vec![here.clone()]), ("b", vec![away.clone()])]);
     let fleet = setting.start().await;
     let mut routing = routing(1);
-    routing.services[0].engine = Some(EngineTerms {
+    routing.services[0].engine = Some(EngineSpec {
         cache_tokens: 400_000,
         event_tokens: 0,
         link_mbps: 400_000,
