--- a/crates/ebonystand-core/src/cache_change.rs
+++ b/crates/ebonystand-core/src/cache_change.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// What became of a cached prefix.
+/// Kind of change to a cached prefix.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// The engine dropped it.
+    /// The engine evicted the prefix.
     Evicted,
-    /// The engine holds it.
+    /// The engine stored the prefix.
     Stored,
 }
--- a/crates/ebonystand-core/src/cache_event.rs
+++ b/crates/ebonystand-core/src/cache_event.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Event of an engine's prefix cache. Events come late and with gaps.
+/// Event from the prefix cache of an engine. Events arrive late, and some are lost.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvent {
-    /// What happened.
+    /// Kind of the change.
     pub change: CacheChange,
-    /// Prefix that it happened to, as [`Router::prefix_key`] names it.
+    /// Hash of the prefix that changed, as returned by [`Router::prefix_key`].
     pub prefix_key: u64,
-    /// One more than that of the engine's previous event.
+    /// Sequence number, one more than that of the engine's previous event.
     pub sequence: u64,
 }
--- a/crates/ebonystand-core/src/event_scanner.rs
+++ b/crates/ebonystand-core/src/event_scanner.rs
@@ -1,8 +1,10 @@
-/// Reads a stream of server-sent events, in pieces cut anywhere.
+/// Incremental parser of a server-sent event stream, which may be split anywhere.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct EventScanner {
     is_done: bool,
+    /// First bytes of the current line.
     line: Vec<u8>,
+    /// Length of the current line in bytes.
     line_len: usize,
     tokens: u64,
 }
@@ -10,46 +12,47 @@
 impl EventScanner {
     const DATA: &[u8] = b"data:";
     const DONE: &[u8] = b"[DONE]";
-    /// Bytes of a line that are looked at; enough for the terminator with its spaces.
-    const LOOKED_AT: usize = 16;
+    /// Bytes of a line that are kept for comparison; enough for the terminator with its spaces.
+    const MAX_COMPARED_LEN: usize = 16;
 
-    /// The terminator was seen.
+    /// Returns whether the terminator was seen.
     pub(crate) fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Takes bytes; returns whether a data line ended in them and whether bytes follow the
-    /// terminator. Comments and other fields are keep-alives: they show that a proxy lives, not
-    /// that the engine does.
-    pub(crate) fn scan(&mut self, bytes: &[u8]) -> Scan {
+    /// Parses more bytes and returns whether a data line ended in them and whether bytes follow the
+    /// terminator. Comments and other fields are keep-alives: they show that a proxy is alive, not
+    /// that the engine is.
+    pub(crate) fn scan(&mut self, bytes: &[u8]) -> ScanResult {
         let tokens = self.tokens;
-        let mut is_beyond = false;
+        let mut has_trailing_bytes = false;
         for &byte in bytes {
             let is_end = matches!(byte, b'\n' | b'\r');
             if is_end {
                 self.end_line();
                 continue;
             }
-            is_beyond |= self.is_done;
+            has_trailing_bytes |= self.is_done;
             self.line_len += 1;
-            if self.line_len <= Self::LOOKED_AT {
+            if self.line_len <= Self::MAX_COMPARED_LEN {
                 self.line.push(byte);
             }
         }
-        Scan {
-            is_beyond,
-            is_progress: self.tokens > tokens || self.is_done,
+        ScanResult {
+            has_trailing_bytes,
+            has_progress: self.tokens > tokens || self.is_done,
         }
     }
 
-    /// Data lines before the terminator; an engine sends one a token.
+    /// Returns the number of data lines before the terminator; an engine sends one per token.
     pub(crate) fn tokens(&self) -> u64 {
         self.tokens
     }
 
+    /// Counts the current line as a token or the terminator if it is a data line.
     fn end_line(&mut self) {
         let data = self.line.strip_prefix(Self::DATA);
-        let is_whole = self.line_len <= Self::LOOKED_AT;
+        let is_whole = self.line_len <= Self::MAX_COMPARED_LEN;
         match data.map(<[u8]>::trim_ascii) {
             Some(Self::DONE) if is_whole => self.is_done = true,
             Some(_) if !self.is_done => self.tokens += 1,
@@ -60,11 +63,11 @@
     }
 }
 
-/// Result of [`EventScanner::scan`].
+/// Result of parsing some bytes with [`EventScanner::scan`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Scan {
-    /// Bytes follow the terminator.
-    pub(crate) is_beyond: bool,
-    /// A token or the terminator came.
-    pub(crate) is_progress: bool,
+pub(crate) struct ScanResult {
+    /// Whether bytes follow the terminator.
+    pub(crate) has_trailing_bytes: bool,
+    /// Whether a token or the terminator arrived.
+    pub(crate) has_progress: bool,
 }
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -82,7 +82,7 @@
     change_request::ChangeRequest,
     command::Command,
     command_outcome::CommandOutcome,
-    connection_fate::ConnectionFate,
+    connection_action::ConnectionAction,
     deadline::Deadline,
     dispatch_end::DispatchEnd,
     document::*,
@@ -212,7 +212,7 @@
 mod circuit;
 mod command;
 mod command_outcome;
-mod connection_fate;
+mod connection_action;
 mod deadline;
 mod demand_meter;
 mod dispatch_end;
--- a/crates/ebonystand-core/src/resumption.rs
+++ b/crates/ebonystand-core/src/resumption.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// How a broken answer may be continued.
+/// How a broken answer may be continued by another dispatch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Resumption {
-    /// Started anew: nothing of it has reached the caller.
-    Anew,
-    /// Continued by an engine that can, behind the tokens that reached the caller.
+    /// From the start: nothing of the answer has reached the caller.
+    Restart,
+    /// By an engine that can continue after the given number of tokens, which have reached the
+    /// caller.
     AtToken(Tokens),
-    /// Not at all; the caller gets an error event. A new start would repeat or contradict what
-    /// the caller already has.
+    /// Not at all: the caller gets an error event. A new answer would repeat or contradict what the
+    /// caller already has.
     Never,
 }
--- a/crates/ebonystand-core/src/stream_fault.rs
+++ b/crates/ebonystand-core/src/stream_fault.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Why an upstream's answer is not whole.
+/// Reason why an upstream's answer is incomplete.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 pub enum StreamFault {
-    /// No token came for longer than the preset allows.
+    /// No token arrived for longer than the preset allows between two tokens.
     #[display("silent_between_tokens")]
     BetweenTokens,
-    /// The caller left.
+    /// The caller disconnected.
     #[display("cancelled")]
     Cancelled,
-    /// The request's deadline passed.
+    /// The deadline of the request passed.
     #[display("deadline")]
     Deadline,
-    /// Nothing of the answer came in time.
+    /// The first byte of the answer did not arrive in time.
     #[display("silent_before_first_byte")]
     FirstByte,
     /// The connection ended before the answer did.
--- a/crates/ebonystand-core/src/stream_guard.rs
+++ b/crates/ebonystand-core/src/stream_guard.rs
@@ -1,25 +1,30 @@
 use super::*;
 
-/// Watches one answer of an upstream: its silence, its end and its deadline.
+/// Watches one upstream answer for silence, its end and its deadline.
 ///
-/// A connection that a middlebox has forgotten stays open and silent for good, and an engine
-/// that dies can end a stream that looks complete. The guard's verdict is the only thing that
-/// ends an answer towards the caller.
+/// A connection that a middlebox has dropped from its state stays open and silent forever, and an
+/// engine that dies can end a stream that appears complete. Only the guard's verdict may end an
+/// answer towards the caller.
 #[derive(Clone, Debug)]
 pub struct StreamGuard {
-    between_tokens: Duration,
+    /// Longest time between two tokens.
+    max_token_gap: Duration,
+    /// Whether the engine can continue at a token offset.
     can_resume: bool,
     deadline: Deadline,
     framing: StreamFraming,
+    /// Whether any byte of the body has arrived.
     has_bytes: bool,
-    is_over: bool,
+    /// Whether a verdict has ended the answer.
+    has_ended: bool,
     scanner: EventScanner,
-    silent_until: Duration,
+    /// Time by which more of the answer must arrive.
+    silence_deadline: Duration,
 }
 
 impl StreamGuard {
-    /// Guard of an answer whose request was sent at `now`. `can_resume`: the engine can go on at
-    /// a token offset.
+    /// Creates the guard of an answer whose request was sent at `now`. `can_resume` tells whether
+    /// the engine can continue at a token offset; `preset` has the time limits.
     #[must_use]
     pub fn new(
         now: Duration,
@@ -29,112 +34,116 @@
         preset: &Preset,
     ) -> Self {
         Self {
-            between_tokens: Duration::from_millis(preset.between_tokens_ms),
+            max_token_gap: Duration::from_millis(preset.between_tokens_ms),
             can_resume,
             deadline,
             framing,
             has_bytes: false,
-            is_over: false,
+            has_ended: false,
             scanner: EventScanner::default(),
-            silent_until: now + Duration::from_millis(preset.first_byte_ms),
+            silence_deadline: now + Duration::from_millis(preset.first_byte_ms),
         }
     }
 
-    /// When [`Self::on_tick`] is to be called at the latest.
+    /// Returns the latest time at which [`Self::on_tick`] must be called.
     #[must_use]
     pub fn next_tick(&self) -> Duration {
-        self.silent_until.min(self.deadline.at())
+        self.silence_deadline.min(self.deadline.at())
     }
 
-    /// Takes bytes of the answer's body.
+    /// Processes bytes of the answer's body.
     pub fn on_bytes(&mut self, now: Duration, bytes: &[u8]) -> StreamVerdict {
-        if self.is_over {
-            return StreamVerdict::Late;
+        if self.has_ended {
+            return StreamVerdict::AlreadyEnded;
         }
         self.has_bytes |= !bytes.is_empty();
         if self.framing == StreamFraming::Body {
-            self.silent_until = now + self.between_tokens;
+            self.silence_deadline = now + self.max_token_gap;
             return StreamVerdict::Continue;
         }
         let scan = self.scanner.scan(bytes);
-        if scan.is_progress {
-            self.silent_until = now + self.between_tokens;
+        if scan.has_progress {
+            self.silence_deadline = now + self.max_token_gap;
         }
         if !self.scanner.is_done() {
             return StreamVerdict::Continue;
         }
-        self.is_over = true;
-        let fate = match scan.is_beyond {
-            true => ConnectionFate::Close,
-            false => ConnectionFate::Reuse,
+        self.has_ended = true;
+        let connection = match scan.has_trailing_bytes {
+            true => ConnectionAction::Close,
+            false => ConnectionAction::Reuse,
         };
-        StreamVerdict::Complete { fate }
+        StreamVerdict::Complete { connection }
     }
 
-    /// The caller left.
+    /// Ends the answer because the caller disconnected.
     pub fn on_cancel(&mut self) -> StreamVerdict {
-        self.broken(StreamFault::Cancelled)
+        self.end_broken(StreamFault::Cancelled)
     }
 
-    /// The body ended; `clean` says whether the client library saw its HTTP framing end.
+    /// Processes the end of the body; `clean` tells whether the client library saw the end of the
+    /// HTTP framing.
     pub fn on_end(&mut self, clean: bool) -> StreamVerdict {
-        if self.is_over {
-            return StreamVerdict::Late;
+        if self.has_ended {
+            return StreamVerdict::AlreadyEnded;
         }
         if self.framing == StreamFraming::Events || !clean {
-            return self.broken(StreamFault::Truncated);
+            return self.end_broken(StreamFault::Truncated);
         }
-        self.is_over = true;
+        self.has_ended = true;
         StreamVerdict::Complete {
-            fate: ConnectionFate::Reuse,
+            connection: ConnectionAction::Reuse,
         }
     }
 
-    /// The head of the answer came: the first byte is no longer waited for.
+    /// Processes the head of the answer, after which the body may take at least the limit between
+    /// tokens to begin.
     pub fn on_head(&mut self, now: Duration) {
-        self.silent_until = self.silent_until.max(now + self.between_tokens);
+        self.silence_deadline = self.silence_deadline.max(now + self.max_token_gap);
     }
 
-    /// Time has passed.
+    /// Checks the deadline and the time limits at `now`.
     pub fn on_tick(&mut self, now: Duration) -> StreamVerdict {
-        if self.is_over {
-            return StreamVerdict::Late;
+        if self.has_ended {
+            return StreamVerdict::AlreadyEnded;
         }
         if self.deadline.is_past(now) {
-            return self.broken(StreamFault::Deadline);
+            return self.end_broken(StreamFault::Deadline);
         }
-        if now < self.silent_until {
+        if now < self.silence_deadline {
             return StreamVerdict::Continue;
         }
         match self.has_bytes {
-            true => self.broken(StreamFault::BetweenTokens),
-            false => self.broken(StreamFault::FirstByte),
+            true => self.end_broken(StreamFault::BetweenTokens),
+            false => self.end_broken(StreamFault::FirstByte),
         }
     }
 
-    /// Tokens that were passed on.
+    /// Returns the number of tokens passed on to the caller.
     #[must_use]
-    pub fn tokens(&self) -> Tokens {
+    pub fn forwarded_tokens(&self) -> Tokens {
         self.scanner.tokens()
     }
 
-    fn broken(&mut self, fault: StreamFault) -> StreamVerdict {
-        if std::mem::replace(&mut self.is_over, true) {
-            return StreamVerdict::Late;
+    /// Ends the answer as broken.
+    fn end_broken(&mut self, fault: StreamFault) -> StreamVerdict {
+        if std::mem::replace(&mut self.has_ended, true) {
+            return StreamVerdict::AlreadyEnded;
         }
         StreamVerdict::Broken {
             fault,
-            fate: ConnectionFate::Close,
+            connection: ConnectionAction::Close,
             resumption: self.resumption(fault),
         }
     }
 
+    /// Returns how the caller's answer can be continued after a fault.
     fn resumption(&self, fault: StreamFault) -> Resumption {
         match fault {
             StreamFault::Cancelled | StreamFault::Deadline => Resumption::Never,
-            _ if !self.has_bytes => Resumption::Anew,
+            _ if !self.has_bytes => Resumption::Restart,
             _ if self.can_resume && self.framing == StreamFraming::Events => {
-                Resumption::AtToken(self.tokens())
+                Resumption::AtToken(self.forwarded_tokens())
             }
             _ => Resumption::Never,
         }
--- a/crates/ebonystand-core/src/stream_verdict.rs
+++ b/crates/ebonystand-core/src/stream_verdict.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// What to do after an input of a [`StreamGuard`].
+/// Action that a [`StreamGuard`] requires after an input.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StreamVerdict {
-    /// The answer is broken: pass nothing more of it, and never end it as if complete.
+    /// The answer is broken: pass on no more of it, and never end it as if it were complete.
     Broken {
-        /// Why.
+        /// Reason why the answer is incomplete.
         fault: StreamFault,
-        /// What becomes of the connection; always closed.
-        fate: ConnectionFate,
-        /// Whether another dispatch may go on from here.
+        /// What to do with the connection; always [`ConnectionAction::Close`].
+        connection: ConnectionAction,
+        /// How another dispatch may continue the answer.
         resumption: Resumption,
     },
-    /// Pass on what came; the answer is whole.
+    /// The answer is complete: pass on the bytes and end it.
     Complete {
-        /// What becomes of the connection.
-        fate: ConnectionFate,
+        /// What to do with the connection.
+        connection: ConnectionAction,
     },
-    /// Pass on what came and go on.
+    /// Pass on the bytes and continue reading.
     Continue,
-    /// Drop what came: the answer had ended before.
-    Late,
+    /// Drop the bytes: the answer has already ended.
+    AlreadyEnded,
 }
--- a/crates/ebonystand-core/tests/stream_guard.rs
+++ b/crates/ebonystand-core/tests/stream_guard.rs
@@ -1,4 +1,4 @@
-//! Answers that go silent, break off or come late.
+//! Detection of answers that go silent, break off or arrive late.
 
 mod common;
 
@@ -8,12 +8,12 @@
     rstest::rstest,
 };
 
-const CLOSE: ConnectionFate = ConnectionFate::Close;
-const REUSE: ConnectionFate = ConnectionFate::Reuse;
+const CLOSE: ConnectionAction = ConnectionAction::Close;
+const REUSE: ConnectionAction = ConnectionAction::Reuse;
 
 fn broken(fault: Fault, resumption: Resumption) -> StreamVerdict {
     Broken {
-        fate: CLOSE,
+        connection: CLOSE,
         fault,
         resumption,
     }
@@ -25,10 +25,11 @@
     StreamGuard::new(ms(0), framing, deadline, can_resume, &preset)
 }
 
-/// An engine dies in the middle of a draft and its connection ends as if the body were whole. The
-/// caller would print half a certificate; it must get an error instead, or the rest.
+/// An engine dies in the middle of a draft, and its connection ends as if the body were complete.
+/// The caller would print half a certificate; it must get an error instead, or the rest of the
+/// answer.
 #[rstest]
-#[case::none("", true, Anew)]
+#[case::none("", true, Restart)]
 #[case::one_token("data: a\n\n", true, AtToken(1))]
 #[case::cannot_resume("data: a\n\n", false, Never)]
 #[case::half_terminator("data: a\n\ndata: [DON", true, AtToken(1))]
@@ -49,8 +50,8 @@
     assert_eq!(verdict, broken(Fault::Truncated, resumption));
 }
 
-/// The network cuts a stream into pieces anywhere, also inside the terminator. It is whole all
-/// the same, exactly when its last piece is there.
+/// The network may split a stream anywhere, also within the terminator. The answer must count as
+/// complete exactly when its last piece has arrived.
 #[test]
 fn a_whole_stream_is_complete_wherever_it_is_cut() {
     let body = b": ping\n\ndata: {\"t\":\"a\"}\r\n\r\ndata: b\n\ndata:[DONE]\n\n";
@@ -58,26 +59,27 @@
         let mut guard = guard(StreamFraming::Events, true);
         assert_eq!(guard.on_bytes(ms(1), &body[..cut]), Continue, "{cut}");
         let verdict = guard.on_bytes(ms(2), &body[cut..]);
-        assert_eq!(verdict, Complete { fate: REUSE }, "{cut}");
-        assert_eq!(guard.tokens(), 2);
+        assert_eq!(verdict, Complete { connection: REUSE }, "{cut}");
+        assert_eq!(guard.forwarded_tokens(), 2);
     }
 }
 
-/// Bytes follow a whole answer on its connection: another answer, crossed. If the connection went
-/// back to the pool, the next request would get them.
+/// Bytes of another answer follow a complete answer on its connection. If the connection returned
+/// to the pool, the next request would get them.
 #[test]
 fn a_connection_with_bytes_beyond_the_end_is_not_reused() {
     let mut guard = guard(StreamFraming::Events, true);
     let verdict = guard.on_bytes(ms(1), b"data: [DONE]\n\ndata: crossed\n\n");
-    assert_eq!(verdict, Complete { fate: CLOSE });
-    assert_eq!(guard.on_bytes(ms(2), b"data: more\n\n"), Late);
-    assert_eq!(guard.on_end(true), Late);
+    assert_eq!(verdict, Complete { connection: CLOSE });
+    assert_eq!(guard.on_bytes(ms(2), b"data: more\n\n"), AlreadyEnded);
+    assert_eq!(guard.on_end(true), AlreadyEnded);
 }
 
-/// A middlebox forgets a connection, which stays open and silent for good. The caller must not
-/// wait longer than the preset's limits, and an answer that comes later belongs to nobody.
+/// A middlebox drops the state of a connection, which then stays open and silent forever. The
+/// caller must not wait longer than the preset's limits, and an answer that arrives later must be
+/// dropped.
 #[rstest]
-#[case::before_the_first_byte(None, 10_000, Fault::FirstByte, Anew)]
+#[case::before_the_first_byte(None, 10_000, Fault::FirstByte, Restart)]
 #[case::between_tokens(Some("data: a\n\n"), 5_100, Fault::BetweenTokens, AtToken(1))]
 #[case::keep_alives_only(Some(": ping\n\n"), 10_000, Fault::BetweenTokens, AtToken(0))]
 fn a_silent_stream_is_given_up_on(
@@ -93,11 +95,14 @@
     assert_eq!(guard.next_tick(), ms(limit));
     assert_eq!(guard.on_tick(ms(limit - 1)), Continue);
     assert_eq!(guard.on_tick(ms(limit)), broken(fault, resumption));
-    assert_eq!(guard.on_bytes(ms(limit + 1), b"data: [DONE]\n\n"), Late);
+    assert_eq!(
+        guard.on_bytes(ms(limit + 1), b"data: [DONE]\n\n"),
+        AlreadyEnded
+    );
 }
 
-/// An engine goes on for ever, a token at a time, past the caller's deadline; or the caller
-/// leaves. Either ends the run, and what still comes on the connection is nobody's.
+/// An engine keeps generating tokens past the caller's deadline, or the caller disconnects. Either
+/// must end the run and close the connection, so that later bytes reach no other request.
 #[test]
 fn a_deadline_or_a_leaving_caller_ends_the_stream_and_its_connection() {
     let mut late = guard(StreamFraming::Events, true);
@@ -110,13 +115,13 @@
     assert_eq!(guard(StreamFraming::Events, true).on_cancel(), cancelled);
 }
 
-/// A plain service's answer is cut off before its length, which the client library reports. Only
-/// one of which nothing came may be asked for again.
+/// The answer of a plain service breaks off before its length, which the client library reports. It
+/// may be requested again only if none of it has arrived.
 #[test]
 fn a_plain_body_is_whole_only_if_its_framing_is() {
     let mut whole = guard(StreamFraming::Body, true);
     whole.on_bytes(ms(1), b"stock: 4");
-    assert_eq!(whole.on_end(true), Complete { fate: REUSE });
+    assert_eq!(whole.on_end(true), Complete { connection: REUSE });
     let mut cut = guard(StreamFraming::Body, true);
     cut.on_bytes(ms(1), b"sto");
     let truncated = broken(Fault::Truncated, Never);
--- a/crates/ebonystand/src/relay.rs
+++ b/crates/ebonystand/src/relay.rs
@@ -4,7 +4,7 @@
     awc::ClientResponse,
     complete::Held,
     dispatch::DispatchFailure,
-    ebonystand_core::{ConnectionFate, StreamFault, StreamGuard, StreamVerdict},
+    ebonystand_core::{ConnectionAction, StreamFault, StreamGuard, StreamVerdict},
     node::Node,
 };
 
@@ -80,12 +80,12 @@
 
     /// Ends a stream whose end mark came. What may follow it is read by a task of its own, so
     /// that the connection can be used again and the caller need not wait for it.
-    fn end(&mut self, fate: ConnectionFate) {
+    fn end(&mut self, fate: ConnectionAction) {
         if let Some(attempt) = self.attempt.take() {
-            attempt.answered(self.guard.tokens());
+            attempt.answered(self.guard.forwarded_tokens());
         }
         let response = self.response.take();
-        if let (Some(mut response), ConnectionFate::Reuse) = (response, fate) {
+        if let (Some(mut response), ConnectionAction::Reuse) = (response, fate) {
             actix_rt::spawn(async move {
                 let rest = async { while let Some(Ok(_)) = response.next().await {} };
                 let _ = actix_rt::time::timeout(Self::REST, rest).await;
@@ -100,16 +100,16 @@
 
     fn pass(&mut self, bytes: Bytes) -> Option<Bytes> {
         let verdict = self.guard.on_bytes(self.node.clock.now(), &bytes);
-        let used = self.prompt_tokens + self.guard.tokens();
+        let used = self.prompt_tokens + self.guard.forwarded_tokens();
         self.held.reserved.use_up(used);
         match verdict {
             StreamVerdict::Broken { fault, .. } => self.broken(fault),
-            StreamVerdict::Complete { fate } => {
+            StreamVerdict::Complete { connection: fate } => {
                 self.end(fate);
                 Some(bytes)
             }
             StreamVerdict::Continue => Some(bytes),
-            StreamVerdict::Late => None,
+            StreamVerdict::AlreadyEnded => None,
         }
     }
 }
