--- a/crates/ebonystand-core/benches/choice.rs
+++ b/crates/ebonystand-core/benches/choice.rs
@@ -3,7 +3,7 @@
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
     ebonystand_core::{
-        ChoiceQuery, ColdStartLimits, EngineSpec, ListedUpstream, Place, Prompt, PromptPart,
+        ChoiceQuery, ColdTerms, EngineSpec, ListedUpstream, Place, Prompt, PromptPart,
         SharedPrefix, UpstreamBook,
     },
     std::{
@@ -83,7 +83,7 @@
                 let prompt = prompt(next);
                 let query = ChoiceQuery {
                     first_byte_target: Duration::from_millis(1_200),
-                    cold: ColdStartLimits::default(),
+                    cold: ColdTerms::default(),
                     engine: Some(EngineSpec::default()),
                     evacuated: &evacuated,
                     excluded: &[],
--- a/crates/ebonystand-core/src/gateway/choice_query.rs
+++ b/crates/ebonystand-core/src/gateway/choice_query.rs
@@ -6,7 +6,7 @@
     /// Target for the time to the first byte.
     pub first_byte_target: Duration,
     /// Load limits of the service's upstreams while they are cold.
-    pub cold: ColdStartLimits,
+    pub cold: ColdTerms,
     /// Cache and link of the service's engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
     /// Evacuated zones, whose upstreams get no requests.
--- a/crates/ebonystand-core/src/gateway/gateway_route.rs
+++ b/crates/ebonystand-core/src/gateway/gateway_route.rs
@@ -30,7 +30,7 @@
     /// Whether a broken stream may be continued at another upstream.
     pub resumable: bool,
     /// Services that share the requests, with their weights.
-    pub split: Vec<WeightedService>,
+    pub split: Vec<SplitPart>,
     /// Longest duration of a request, in milliseconds.
     pub timeout_ms: u64,
 }
--- a/crates/ebonystand-core/src/gateway/gateway_service.rs
+++ b/crates/ebonystand-core/src/gateway/gateway_service.rs
@@ -5,7 +5,7 @@
 #[serde(deny_unknown_fields)]
 pub struct GatewayService {
     /// Load limits of the service's upstreams while they are cold.
-    pub cold: ColdStartLimits,
+    pub cold: ColdTerms,
     /// Connections that one upstream accepts from all VMs together.
     pub connections: u64,
     /// Cache and link of the service's model engines; `None` for a plain service.
--- a/crates/ebonystand-core/src/gateway/known_upstream.rs
+++ b/crates/ebonystand-core/src/gateway/known_upstream.rs
@@ -35,8 +35,8 @@
     pub(crate) consecutive_failures: u32,
     /// Time until which the upstream is passed over because it timed out or could not be reached.
     pub(crate) backoff_until: Duration,
-    /// Limit on the work of this VM's requests whose answers have not begun: prompt tokens for an
-    /// engine.
+    /// Limit on the prompt tokens that wait in the engine, with those reserved by this VM's requests
+    /// whose answers have not begun; calls to plain services reserve none.
     pub(crate) work_window: WorkWindow,
 }
 
--- a/crates/ebonystand-core/src/gateway/mod.rs
+++ b/crates/ebonystand-core/src/gateway/mod.rs
@@ -7,7 +7,7 @@
     attempt_end::AttemptEnd,
     call_kind::CallKind,
     choice_query::ChoiceQuery,
-    cold_start_limits::ColdStartLimits,
+    cold_terms::ColdTerms,
     confirmation::Confirmation,
     entry_list_selector::EntryListSelector,
     gateway_route::GatewayRoute,
@@ -27,10 +27,10 @@
     routing::Routing,
     routing_fault::RoutingFault,
     service_latency::ServiceLatency,
+    split_part::SplitPart,
     target_choice::TargetChoice,
     upstream_book::UpstreamBook,
     weighted_fair_queue::WeightedFairQueue,
-    weighted_service::WeightedService,
 };
 
 use {
@@ -42,7 +42,7 @@
 mod call_kind;
 mod choice_query;
 mod cold_start_limiter;
-mod cold_start_limits;
+mod cold_terms;
 mod confirmation;
 mod entry_list_selector;
 mod event_gap_meter;
@@ -65,10 +65,10 @@
 mod routing_fault;
 mod sent_prefixes;
 mod service_latency;
+mod split_part;
 mod target_choice;
 mod upstream_book;
 mod upstream_choice;
 mod upstream_pressure;
 mod weighted_fair_queue;
-mod weighted_service;
 mod work_window;
--- a/crates/ebonystand-core/src/gateway/routing_fault.rs
+++ b/crates/ebonystand-core/src/gateway/routing_fault.rs
@@ -29,7 +29,7 @@
     /// A route names a service that is not defined.
     #[snafu(display("route `{route}`: no service `{service}`"))]
     UnknownService {
-        /// Name of the route.
+        /// Name of the route that refers to the service.
         route: Box<str>,
         /// Service that is not defined.
         service: ServiceId,
--- a/crates/ebonystand-core/src/gateway/upstream_book.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_book.rs
@@ -86,7 +86,7 @@
         self
     }
 
-    /// Returns whether a feature is enabled.
+    /// Returns whether a feature of the selection is in use, so not disabled for an experiment.
     #[must_use]
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.disabled_mechanisms.contains(&mechanism)
--- a/crates/ebonystand-core/src/gateway/upstream_pressure.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_pressure.rs
@@ -38,7 +38,7 @@
         let predicted = |service: &ServiceId| {
             let query = ChoiceQuery {
                 first_byte_target: Duration::MAX,
-                cold: ColdStartLimits::default(),
+                cold: ColdTerms::default(),
                 engine: None,
                 evacuated,
                 excluded: &[],
--- a/crates/ebonystand-core/src/gateway/work_window.rs
+++ b/crates/ebonystand-core/src/gateway/work_window.rs
@@ -45,7 +45,7 @@
 
     /// Adapts the limit: `work` units began `took` after they were sent, `target` being the longest
     /// time in which they should. The limit shrinks at most once per `target`, since answers to
-    /// work sent before it shrank carry no news.
+    /// work sent before it shrank say nothing new.
     pub(crate) fn adjust_limit(
         &mut self,
         now: Duration,
--- a/crates/ebonystand-core/src/prefix_cache/engine_spec.rs
+++ b/crates/ebonystand-core/src/prefix_cache/engine_spec.rs
@@ -2,7 +2,7 @@
 
 /// Cache size and transfer speed of a service's model engines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-#[serde(default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields, expecting = "struct EngineTerms")]
 pub struct EngineSpec {
     /// Tokens that the cache of one engine holds.
     pub cache_tokens: Tokens,
--- a/crates/ebonystand-core/tests/feed.rs
+++ b/crates/ebonystand-core/tests/feed.rs
@@ -6,7 +6,7 @@
 use {
     ebonystand_core::{
         AcceptedChange, CallKind, Change, Document, Feed, FeedInput, FeedMessage, GatewayRoute,
-        GatewayService, PresetName, Routing, Version, WeightedService,
+        GatewayService, PresetName, Routing, SplitPart, Version,
     },
     feeds::{Feeds, Link, give_key, put_workspace},
     rand::{RngExt, SeedableRng},
@@ -251,7 +251,7 @@
         public: false,
         rank: 1,
         resumable: false,
-        split: vec![WeightedService {
+        split: vec![SplitPart {
             service: "stock".into(),
             weight: 1,
         }],
--- a/crates/ebonystand-core/tests/gateway/configuration.rs
+++ b/crates/ebonystand-core/tests/gateway/configuration.rs
@@ -40,7 +40,7 @@
 #[test]
 fn a_split_follows_its_weights_and_equal_prompts_stay_together() {
     let mut split = route("r", "/a/");
-    let part = |service: &str, weight| WeightedService {
+    let part = |service: &str, weight| SplitPart {
         service: service.into(),
         weight,
     };
--- a/crates/ebonystand-core/tests/gateway/main.rs
+++ b/crates/ebonystand-core/tests/gateway/main.rs
@@ -48,7 +48,7 @@
         public: false,
         rank: 0,
         resumable: false,
-        split: vec![WeightedService {
+        split: vec![SplitPart {
             service: "s".into(),
             weight: 1,
         }],
@@ -73,7 +73,7 @@
 
 pub(crate) fn service(name: &str) -> GatewayService {
     GatewayService {
-        cold: ColdStartLimits {
+        cold: ColdTerms {
             per_s: 2.4,
             span_ms: 3_000,
         },
--- a/crates/ebonystand/src/gateway/call.rs
+++ b/crates/ebonystand/src/gateway/call.rs
@@ -1,9 +1,7 @@
 use super::*;
 use {
     attempt::Attempt,
-    ebonystand_core::{
-        AttemptEnd, CacheSource, ChoiceQuery, ColdStartLimits, Prompt, TargetChoice,
-    },
+    ebonystand_core::{AttemptEnd, CacheSource, ChoiceQuery, ColdTerms, Prompt, TargetChoice},
     node::Node,
     relay::Relay,
     std::collections::BTreeSet,
@@ -123,7 +121,7 @@
         let service = table.service(&self.service);
         ChoiceQuery {
             first_byte_target: self.aim,
-            cold: service.map_or_else(ColdStartLimits::default, |service| service.cold),
+            cold: service.map_or_else(ColdTerms::default, |service| service.cold),
             engine: service.and_then(|service| service.engine),
             evacuated: &document.evacuated,
             excluded: &self.excluded,
--- a/crates/ebonystand/tests/integration/routes.rs
+++ b/crates/ebonystand/tests/integration/routes.rs
@@ -8,9 +8,8 @@
         vm::Vm,
     },
     ebonystand_core::{
-        CallKind, Change, ColdStartLimits, EngineSpec, GatewayRoute, GatewayService,
-        GatewayWorkspace, KeyHash, Quota, QuotaUnit, Region, Routing, Service, Upstream,
-        UpstreamKind, WeightedService,
+        CallKind, Change, ColdTerms, EngineSpec, GatewayRoute, GatewayService, GatewayWorkspace,
+        KeyHash, Quota, QuotaUnit, Region, Routing, Service, SplitPart, Upstream, UpstreamKind,
     },
     rstest::rstest,
     serde_json::json,
@@ -99,7 +98,7 @@
         public: false,
         rank: 0,
         resumable: false,
-        split: vec![WeightedService {
+        split: vec![SplitPart {
             service: "orders".into(),
             weight: 1,
         }],
@@ -121,7 +120,7 @@
         rank: None,
     };
     let service = GatewayService {
-        cold: ColdStartLimits::default(),
+        cold: ColdTerms::default(),
         connections: 100,
         engine: None,
         health_path: "/health".into(),
--- a/crates/ebonystand/tests/soak/operator.rs
+++ b/crates/ebonystand/tests/soak/operator.rs
@@ -3,7 +3,7 @@
     awc::Client,
     ebonystand_core::{
         CallKind, Change, ChangeOutcome, ChangeRequest, GatewayRoute, GatewayService,
-        GatewayWorkspace, OperatorStatus, Quota, QuotaUnit, Routing, WeightedService,
+        GatewayWorkspace, OperatorStatus, Quota, QuotaUnit, Routing, SplitPart,
     },
     std::{rc::Rc, time::Duration},
 };
@@ -101,7 +101,7 @@
         public: false,
         rank: 1,
         resumable: false,
-        split: vec![WeightedService {
+        split: vec![SplitPart {
             service: "registry".into(),
             weight: 1,
         }],
