--- a/crates/ebonystand-core/src/gateway/entry_list_selector.rs
+++ b/crates/ebonystand-core/src/gateway/entry_list_selector.rs
@@ -16,8 +16,8 @@
     /// Most addresses on one list.
     pub const MAX_ADDRESSES: usize = 64;
 
-    /// Number of VMs in the caller's zone from which a truncated list names no VMs of other zones:
-    /// the zone's callers then spread well enough over them.
+    /// Least number of VMs in the caller's zone from which a truncated list names only VMs of that
+    /// zone: the zone's callers then spread well enough over them.
     const MIN_ZONE_VMS: usize = Self::MAX_ADDRESSES / 2;
 
     /// Returns the addresses of the nearest VMs that accept callers: those in the caller's region
--- a/crates/ebonystand-core/src/gateway/quota.rs
+++ b/crates/ebonystand-core/src/gateway/quota.rs
@@ -8,7 +8,7 @@
     pub burst: u64,
     /// Units that may be used per second.
     pub rate: u64,
-    /// Unit that the limit counts.
+    /// Unit in which `burst` and `rate` are counted.
     pub unit: QuotaUnit,
 }
 
--- a/crates/ebonystand-core/src/gateway/routing.rs
+++ b/crates/ebonystand-core/src/gateway/routing.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a fault for each key that two workspaces share.
+    /// Appends a fault for each key that two workspaces share.
     fn key_faults(&self, faults: &mut Vec<RoutingFault>) {
         let mut owners = BTreeMap::new();
         for workspace in &self.workspaces {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Adds the faults of one route.
+    /// Appends the faults of `route`, apart from a host and prefix that another route has too.
     fn route_faults(
         route: &GatewayRoute,
         services: &BTreeSet<&ServiceId>,
