--- a/crates/ebonystand-core/benches/order_journal.rs
+++ b/crates/ebonystand-core/benches/order_journal.rs
@@ -16,7 +16,7 @@
 fn grant(n: usize) -> OrderCommand {
     OrderCommand::Grant {
         at: AT,
-        body: BodyHash::of("POST", "/orders", b"order"),
+        body: BodyHash::from_request("POST", "/orders", b"order"),
         holder: OrderHolder {
             attempt: n as u64,
             incarnation: 0x1234_5678_9abc_def0,
--- a/crates/ebonystand-core/src/append_outcome.rs
+++ b/crates/ebonystand-core/src/append_outcome.rs
@@ -1,16 +1,17 @@
 use super::*;
 
-/// What a replica answers to entries.
+/// Result of comparing a leader's entries with a replica's log.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AppendOutcome {
-    /// Its log is the leader's up to this index, and durable.
+    /// The replica's log equals the leader's up to `index` and is durable up to there.
     Matched {
-        /// Last index that is known to be equal.
+        /// Last index up to which the logs are known to be equal.
         index: LogIndex,
     },
-    /// It lacks the entry before those that were sent.
+    /// The replica lacks the entry that precedes the received entries, or the sender's term is
+    /// over.
     Mismatch {
-        /// Last index at which the logs may be equal.
+        /// Last index up to which the logs may be equal.
         hint: LogIndex,
     },
 }
--- a/crates/ebonystand-core/src/body_hash.rs
+++ b/crates/ebonystand-core/src/body_hash.rs
@@ -12,7 +12,7 @@
     /// Digest of a request. Each part goes in behind its length, so that no two requests share
     /// the digested bytes.
     #[must_use]
-    pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
+    pub fn from_request(method: &str, path: &str, body: &[u8]) -> Self {
         use sha2::Digest;
         let mut digest = sha2::Sha256::new();
         for part in [method.as_bytes(), path.as_bytes(), body] {
--- a/crates/ebonystand-core/src/command.rs
+++ b/crates/ebonystand-core/src/command.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// Entry of the replicated log.
+/// Command for the replicated state machine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
-    /// Changes nothing. What is read after its outcome came is as new as anything that was answered
-    /// before it was asked for.
+    /// Changes nothing. State read after the barrier is committed contains every change
+    /// acknowledged before the barrier was proposed.
     Barrier,
     /// Changes the configuration.
     Change(ChangeRequest),
-    /// Grants, answers or settles a once-only order.
+    /// Changes the journal of once-only orders.
     Order(OrderCommand),
 }
--- a/crates/ebonystand-core/src/command_outcome.rs
+++ b/crates/ebonystand-core/src/command_outcome.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// What became of a [`Command`].
+/// Outcome of a [`Command`].
 #[derive(Clone, Debug, Deserialize, Eq, From, PartialEq, Serialize)]
 pub enum CommandOutcome {
-    /// Of a barrier: the version in force there.
+    /// Outcome of a barrier: the version of the configuration in force.
     #[from(ignore)]
     Barrier(Version),
-    /// Of a change of the configuration.
+    /// Outcome of a change of the configuration.
     Change(ChangeOutcome),
-    /// Of an order.
+    /// Outcome of a command about a once-only order.
     Order(OrderOutcome),
 }
--- a/crates/ebonystand-core/src/held_message.rs
+++ b/crates/ebonystand-core/src/deferred_message.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A message that waits for the storage.
+/// Message that is sent once the records it promises are synced to disk.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldMessage {
+pub(crate) struct DeferredMessage {
     pub(crate) body: ReplicaMessageBody,
     pub(crate) term: Term,
     pub(crate) to: MemberId,
--- a/crates/ebonystand-core/src/durable_state.rs
+++ b/crates/ebonystand-core/src/durable_state.rs
@@ -1,41 +1,41 @@
 use super::*;
 
-/// All that a replica keeps over a restart.
+/// State of a replica that survives a restart.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DurableState {
-    /// Entries behind the snapshot, without gap.
+    /// Entries after the snapshot, without a gap.
     pub entries: VecDeque<LogEntry>,
-    /// Term and vote.
+    /// Current term and vote.
     pub hard_state: HardState,
-    /// Number of the data folder's life, drawn when it was made.
+    /// Random number drawn when the data folder was created.
     pub incarnation: Incarnation,
-    /// Newest snapshot.
+    /// Newest snapshot, if there is one.
     pub snapshot: Option<LogSnapshot>,
 }
 
 impl DurableState {
-    /// Applies one record.
+    /// Applies a record, in the order in which records were written.
     pub fn apply(&mut self, record: LogRecord) {
         match record {
             LogRecord::Append(entry) => {
-                self.truncate(entry.position.index);
+                self.truncate_from(entry.position.index);
                 self.entries.push_back(entry);
             }
             LogRecord::HardState(hard_state) => self.hard_state = hard_state,
-            LogRecord::Snapshot(snapshot) => self.install(snapshot),
+            LogRecord::Snapshot(snapshot) => self.install_snapshot(snapshot),
         }
     }
 
-    /// State of a data folder that was just made.
+    /// Returns the state of a newly created data folder.
     #[must_use]
-    pub fn blank(incarnation: Incarnation) -> Self {
+    pub fn empty(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
             ..Self::default()
         }
     }
 
-    fn install(&mut self, snapshot: LogSnapshot) {
+    fn install_snapshot(&mut self, snapshot: LogSnapshot) {
         let position = snapshot.position;
         if self.entries.iter().any(|entry| entry.position == position) {
             while self
@@ -51,7 +51,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    fn truncate(&mut self, index: LogIndex) {
+    fn truncate_from(&mut self, index: LogIndex) {
         while self
             .entries
             .back()
--- a/crates/ebonystand-core/src/group_member_status.rs
+++ b/crates/ebonystand-core/src/group_member_status.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A member of a replicated group.
+/// Status of one member of a replicated group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupMemberStatus {
-    /// Index up to which its log is known to be durable; only the leader knows.
+    /// Index up to which the member's log is known to be durable; only the leader knows it.
     pub durable: Option<u64>,
-    /// Number drawn when its data folder was made.
+    /// Random number drawn when the member's data folder was created.
     pub incarnation: Incarnation,
-    /// Its VM.
+    /// VM of the member.
     pub vm: VmId,
-    /// It counts in quorums; a learner only receives the log.
+    /// Whether the member counts towards majorities; a learner only receives the log.
     pub voter: bool,
 }
--- a/crates/ebonystand-core/src/group_status.rs
+++ b/crates/ebonystand-core/src/group_status.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A replicated group as one of its members sees it.
+/// Status of a replicated group as seen by one of its members.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupStatus {
-    /// Index up to which its log is committed.
+    /// Index up to which the member knows the log to be committed.
     pub committed: u64,
-    /// Its name: `configuration`, or `orders.` and a region.
+    /// Name of the group: `configuration`, or `orders.` followed by a region.
     pub group: Box<str>,
-    /// The leader, if one is known.
+    /// VM of the leader, if it is known.
     pub leader: Option<VmId>,
-    /// Its members.
+    /// Status of each member.
     pub members: Vec<GroupMemberStatus>,
-    /// The term.
+    /// Current term.
     pub term: u64,
 }
--- a/crates/ebonystand-core/src/sending.rs
+++ b/crates/ebonystand-core/src/in_flight_order.rs
@@ -3,12 +3,12 @@
 /// Proof that an order may be on its way to an upstream.
 #[derive(Debug)]
 #[must_use = "an order whose outcome is not told stays unknown for ever"]
-pub struct Sending {
+pub struct InFlightOrder {
     pub(crate) dispatch_by: Duration,
     pub(crate) holder: OrderHolder,
 }
 
-impl Sending {
+impl InFlightOrder {
     /// Turns to another upstream, right before the first byte goes out to it. Only for a caller
     /// that knows that no byte of the order was handed to a connection so far.
     ///
@@ -16,8 +16,8 @@
     ///
     /// # Errors
     ///
-    /// [`Unsent`] if it is too late to send.
-    pub fn turn_to_another(self, now: Duration) -> Result<Self, Unsent> {
+    /// [`UnsentOrder`] if it is too late to send.
+    pub fn switch_upstream(self, now: Duration) -> Result<Self, UnsentOrder> {
         if now >= self.dispatch_by {
             return Err(self.into_unsent());
         }
@@ -26,8 +26,8 @@
 
     /// Takes the sending back. Only for a caller that knows that no byte of the order was handed
     /// to a connection: the connection could not be opened, or was found closed before.
-    pub fn into_unsent(self) -> Unsent {
-        Unsent {
+    pub fn into_unsent(self) -> UnsentOrder {
+        UnsentOrder {
             holder: self.holder,
         }
     }
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -12,6 +12,7 @@
     bytes::Bytes,
     change_log::ChangeLog,
     circuit::Circuit,
+    deferred_message::DeferredMessage,
     demand_meter::DemandMeter,
     derive_more::{Display, From},
     encoded_weight::*,
@@ -20,7 +21,6 @@
     fleet::Fleet,
     fleet_share::FleetShare,
     handover::Handover,
-    held_message::HeldMessage,
     lent_lease::LentLease,
     link_budgets::LinkBudgets,
     model_count::ModelCount,
@@ -102,6 +102,7 @@
     group_status::GroupStatus,
     hard_state::HardState,
     ids::*,
+    in_flight_order::InFlightOrder,
     key::Key,
     key_given::KeyGiven,
     key_hash::KeyHash,
@@ -129,10 +130,10 @@
     operator_path::*,
     operator_status::OperatorStatus,
     order::*,
+    order_permit::OrderPermit,
     orderer::Orderer,
     orderer_fault::OrdererFault,
     orderer_times::OrdererTimes,
-    permit::Permit,
     place::Place,
     placement::*,
     prefix_cache::*,
@@ -140,7 +141,7 @@
     preset_name::PresetName,
     presets::Presets,
     priority::Priority,
-    proposal_fault::ProposalFault,
+    proposal_error::ProposalError,
     pull_end::PullEnd,
     quarantine::*,
     queue_entry::QueueEntry,
@@ -161,7 +162,6 @@
     run_end::RunEnd,
     run_permit::RunPermit,
     run_state::RunState,
-    sending::Sending,
     service::Service,
     smoothed_rate::SmoothedRate,
     state_machine::StateMachine,
@@ -172,7 +172,7 @@
     target::Target,
     ticket_id::TicketId,
     traffic_class::TrafficClass,
-    unsent::Unsent,
+    unsent_order::UnsentOrder,
     upstream::Upstream,
     upstream_kind::UpstreamKind,
     upstream_status::UpstreamStatus,
@@ -214,6 +214,7 @@
 mod command_outcome;
 mod connection_fate;
 mod deadline;
+mod deferred_message;
 mod demand_meter;
 mod dispatch_end;
 mod document;
@@ -238,8 +239,8 @@
 mod group_status;
 mod handover;
 mod hard_state;
-mod held_message;
 mod ids;
+mod in_flight_order;
 mod key;
 mod key_given;
 mod key_hash;
@@ -273,12 +274,12 @@
 mod operator_path;
 mod operator_status;
 mod order;
+mod order_permit;
 mod orderer;
 mod orderer_fault;
 mod orderer_phase;
 mod orderer_times;
 mod parts_answered;
-mod permit;
 mod pick;
 mod place;
 mod placement;
@@ -289,7 +290,7 @@
 mod presets;
 mod priority;
 mod prober;
-mod proposal_fault;
+mod proposal_error;
 mod pull_end;
 mod quarantine;
 mod queue_entry;
@@ -318,7 +319,6 @@
 mod run_report;
 mod run_state;
 mod seed_addresses;
-mod sending;
 mod service;
 mod slack_entry;
 mod slack_history;
@@ -336,7 +336,7 @@
 mod ticket_id;
 mod token_bucket;
 mod traffic_class;
-mod unsent;
+mod unsent_order;
 mod unsynced_batch;
 mod upstream;
 mod upstream_group;
--- a/crates/ebonystand-core/src/log_entry.rs
+++ b/crates/ebonystand-core/src/log_entry.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// An entry of the replicated log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogEntry {
-    /// What it holds.
+    /// Content of the entry.
     pub payload: LogPayload,
-    /// Where it stands.
+    /// Index and term of the entry.
     pub position: LogPosition,
 }
 
 impl LogEntry {
-    /// Bytes that an entry counts beside its command when messages are filled.
-    pub const OVERHEAD: usize = 32;
+    /// Size that each entry adds to its command, in bytes, when messages are filled.
+    pub const OVERHEAD_BYTES: usize = 32;
 }
--- a/crates/ebonystand-core/src/log_payload.rs
+++ b/crates/ebonystand-core/src/log_payload.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// What an entry of the log holds.
+/// Content of a [`LogEntry`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LogPayload {
-    /// A command of the state machine, opaque to the log.
+    /// Command for the state machine, opaque to the log.
     Command(Bytes),
-    /// The group's members from here on.
+    /// Membership of the group from this entry on.
     Members(Membership),
-    /// A new leader's first entry: once it is committed, so is all that came before it.
+    /// First entry of a new leader. Once it is committed, so are all entries before it.
     Noop,
 }
 
 impl LogPayload {
-    /// Whether there is no command, or an empty one.
+    /// Returns whether the entry holds no command or an empty one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Size of a command in bytes; the other kinds count as empty.
+    /// Returns the size of the command in bytes; 0 for the other kinds.
     #[must_use]
     pub fn len(&self) -> usize {
         match self {
--- a/crates/ebonystand-core/src/log_position.rs
+++ b/crates/ebonystand-core/src/log_position.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// An entry's place and the term of the leader that made it. Equal positions name equal entries.
+/// Index and term of a log entry. Entries with equal positions are equal.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogPosition {
-    /// Place in the log.
+    /// Index of the entry in the log.
     pub index: LogIndex,
-    /// Term of the leader that made the entry.
+    /// Term of the leader that appended the entry.
     pub term: Term,
 }
 
 impl LogPosition {
-    /// Whether a log that ends here has every committed entry that one ending at `other` has.
+    /// Returns whether a log that ends at this position has every committed entry of a log that
+    /// ends at `other`.
     #[must_use]
-    pub fn covers(self, other: Self) -> bool {
+    pub fn is_up_to_date_with(self, other: Self) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
--- a/crates/ebonystand-core/src/log_record.rs
+++ b/crates/ebonystand-core/src/log_record.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// A change of a replica's [`DurableState`], in the order in which it must be made durable.
+/// Change of a replica's [`DurableState`]. Records must be made durable in the order in which they
+/// are returned.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LogRecord {
-    /// An entry; any entry at its index or behind is dropped first.
+    /// Appends an entry after dropping the entries at its index and above.
     Append(LogEntry),
-    /// Term and vote.
+    /// Replaces the term and vote.
     HardState(HardState),
-    /// A snapshot in place of the entries up to its position. Entries behind are kept only if the
-    /// entry at that position is the same one.
+    /// Replaces the entries up to the snapshot's position. Entries after it are kept only if the
+    /// entry at that position is the snapshot's last entry.
     Snapshot(LogSnapshot),
 }
--- a/crates/ebonystand-core/src/log_snapshot.rs
+++ b/crates/ebonystand-core/src/log_snapshot.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// The state machine's state in place of all entries up to a position.
+/// State of the state machine that replaces all log entries up to a position.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogSnapshot {
-    /// Members at that position.
+    /// Membership at `position`.
     pub members: Membership,
-    /// Last entry that the state contains.
+    /// Position of the last entry that the state contains.
     pub position: LogPosition,
-    /// The state, opaque to the log; empty in the founding snapshot.
+    /// Encoded state, opaque to the log; empty in the snapshot that founds a group.
     pub state: Bytes,
 }
--- a/crates/ebonystand-core/src/member_change.rs
+++ b/crates/ebonystand-core/src/member_change.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// One change of a group's members.
+/// Change of one member of a replicated group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MemberChange {
-    /// Takes a replica in as a learner, which receives the log and counts in no quorum. Another
-    /// learner of the same VM leaves. The leader promotes it once it has caught up.
+    /// Adds a replica as a learner, which receives the log but counts in no majority, and removes
+    /// any other learner on the same VM. The leader promotes the learner once it has caught up.
     Admit(MemberId),
     /// Makes a learner that has caught up a voter.
     Promote(MemberId),
-    /// Takes a replica out.
+    /// Removes a replica.
     Remove(MemberId),
 }
--- a/crates/ebonystand-core/src/order/order_action.rs
+++ b/crates/ebonystand-core/src/order/order_action.rs
@@ -4,9 +4,9 @@
 #[derive(Debug)]
 pub enum OrderAction {
     /// Send the order to an upstream, or give the permit back.
-    Dispatch(Permit),
+    Dispatch(OrderPermit),
     /// Bring the command to the log of the order's region, and the outcome back to
-    /// [`OrderDispatch::outcome`]. It may get lost or come twice.
+    /// [`OrderDispatch::handle_outcome`]. It may get lost or come twice.
     Propose(OrderCommand),
     /// Answer the caller. Said once.
     Reply(OrderReply),
--- a/crates/ebonystand-core/src/order/order_dispatch.rs
+++ b/crates/ebonystand-core/src/order/order_dispatch.rs
@@ -16,12 +16,12 @@
 
 impl OrderDispatch {
     /// Wait before a command is proposed again, doubled each time up to [`Self::RESEND_AT_MOST`].
-    pub const RESEND_AFTER: Duration = Duration::from_millis(400);
+    pub const INITIAL_RESEND_DELAY: Duration = Duration::from_millis(400);
     /// Longest wait before a command is proposed again.
-    pub const RESEND_AT_MOST: Duration = Duration::from_secs(5);
+    pub const MAX_RESEND_DELAY: Duration = Duration::from_secs(5);
     /// Time after the caller's reply for which the journal is still told. After it an unsettled
     /// order stays granted, and callers hear `unknown`.
-    pub const SETTLE_FOR: Duration = Duration::from_secs(60);
+    pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
     /// A request by a holder drawn for it alone.
     ///
@@ -34,8 +34,8 @@
         limits: &OrderLimits,
     ) -> Result<Self, Refusal> {
         let parts = OrderKeyParts::parse(&req.id.key).map_err(|fault| fault.refusal())?;
-        if parts.minted > req.at.saturating_add(limits.skew.as_secs()) {
-            return Err(OrderKeyFault::Early.refusal());
+        if parts.minted > req.received_at.saturating_add(limits.skew.as_secs()) {
+            return Err(OrderKeyError::Early.refusal());
         }
         Ok(Self {
             asked: 0,
@@ -48,13 +48,13 @@
     }
 
     /// The upstream has answered, whole.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Duration,
-        sending: Sending,
+        sending: InFlightOrder,
         answer: OrderAnswer,
     ) -> Vec<OrderAction> {
-        let Sending { holder, .. } = sending;
+        let InFlightOrder { holder, .. } = sending;
         if !self.takes_back(&holder) {
             return Vec::new();
         }
@@ -89,7 +89,7 @@
     }
 
     /// Takes what became of a command that it proposed.
-    pub fn outcome(&mut self, now: Duration, outcome: &OrderOutcome) -> Vec<OrderAction> {
+    pub fn handle_outcome(&mut self, now: Duration, outcome: &OrderOutcome) -> Vec<OrderAction> {
         match &self.phase {
             OrderPhase::Abandoning { granted } => self.outcome_of_abandon(*granted, outcome),
             OrderPhase::Asking => self.outcome_of_ask(now, outcome),
@@ -114,7 +114,7 @@
         if self.phase == OrderPhase::Asking && now >= self.req.dispatch_by {
             actions.extend(self.enter(now, OrderPhase::Abandoning { granted: false }));
         }
-        if self.phase != OrderPhase::Permitted && now >= self.req.reply_by + Self::SETTLE_FOR {
+        if self.phase != OrderPhase::Permitted && now >= self.req.reply_by + Self::SETTLE_TIMEOUT {
             self.phase = OrderPhase::Closed;
         }
         if now >= self.resend_at {
@@ -124,8 +124,8 @@
     }
 
     /// The order was sent, wholly or in part, and no answer will come.
-    pub fn unanswered(&mut self, now: Duration, sending: Sending) -> Vec<OrderAction> {
-        let Sending { holder, .. } = sending;
+    pub fn record_no_answer(&mut self, now: Duration, sending: InFlightOrder) -> Vec<OrderAction> {
+        let InFlightOrder { holder, .. } = sending;
         if !self.takes_back(&holder) {
             return Vec::new();
         }
@@ -135,8 +135,8 @@
     }
 
     /// Nothing was sent, nor will be. The caller hears `not_run` once that is durable.
-    pub fn unsent(&mut self, now: Duration, unsent: Unsent) -> Vec<OrderAction> {
-        let Unsent { holder } = unsent;
+    pub fn record_unsent(&mut self, now: Duration, unsent: UnsentOrder) -> Vec<OrderAction> {
+        let UnsentOrder { holder } = unsent;
         if !self.takes_back(&holder) {
             return Vec::new();
         }
@@ -145,7 +145,7 @@
 
     /// Moment of the next [`poll`](Self::poll); `None` once closed.
     #[must_use]
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_poll(&self) -> Option<Duration> {
         let next = match self.phase {
             OrderPhase::Asking => self.resend_at.min(self.req.dispatch_by),
             OrderPhase::Closed => return None,
@@ -172,11 +172,11 @@
     }
 
     fn command(&self) -> Option<OrderCommand> {
-        let (body, holder, id) = (self.req.body, self.holder.clone(), self.req.id.clone());
+        let (body, holder, id) = (self.req.body_hash, self.holder.clone(), self.req.id.clone());
         match &self.phase {
             OrderPhase::Abandoning { .. } => Some(OrderCommand::Abandon { body, holder, id }),
             OrderPhase::Asking => Some(OrderCommand::Grant {
-                at: self.req.at,
+                at: self.req.received_at,
                 body,
                 holder,
                 id,
@@ -215,7 +215,7 @@
         match outcome {
             OrderOutcome::Granted => {
                 self.phase = OrderPhase::Permitted;
-                vec![OrderAction::Dispatch(Permit {
+                vec![OrderAction::Dispatch(OrderPermit {
                     dispatch_by: self.req.dispatch_by,
                     holder: self.holder.clone(),
                     id: self.req.id.clone(),
@@ -232,9 +232,9 @@
 
     fn propose(&mut self, now: Duration) -> Option<OrderAction> {
         let command = self.command()?;
-        let wait = Self::RESEND_AFTER * 2_u32.saturating_pow(self.asked.min(8));
+        let wait = Self::INITIAL_RESEND_DELAY * 2_u32.saturating_pow(self.asked.min(8));
         self.asked += 1;
-        self.resend_at = now + wait.min(Self::RESEND_AT_MOST);
+        self.resend_at = now + wait.min(Self::MAX_RESEND_DELAY);
         Some(OrderAction::Propose(command))
     }
 
--- a/crates/ebonystand-core/src/order/order_holders.rs
+++ b/crates/ebonystand-core/src/order/order_holder_source.rs
@@ -2,13 +2,13 @@
 
 /// Source of the holders of one process.
 #[derive(Debug)]
-pub struct OrderHolders {
+pub struct OrderHolderSource {
     attempts: u64,
     incarnation: Incarnation,
     vm: VmId,
 }
 
-impl OrderHolders {
+impl OrderHolderSource {
     /// Source for a process that has just started. `incarnation` must be drawn at this very start
     /// (64 random bits): one read back from a disk would give the holders of the process before.
     #[must_use]
@@ -22,7 +22,7 @@
 
     /// A holder that was never given before.
     #[must_use]
-    pub fn draw(&mut self) -> OrderHolder {
+    pub fn next_holder(&mut self) -> OrderHolder {
         self.attempts += 1;
         OrderHolder {
             attempt: self.attempts,
--- a/crates/ebonystand-core/src/order/order_journal.rs
+++ b/crates/ebonystand-core/src/order/order_journal.rs
@@ -11,8 +11,8 @@
     limits: OrderLimits,
     newest: u64,
     per_workspace: BTreeMap<WorkspaceId, usize>,
-    records: BTreeMap<OrderSlot, OrderRecord>,
-    stored: BTreeSet<OrderSlot>,
+    records: BTreeMap<OrderSortKey, OrderRecord>,
+    stored: BTreeSet<OrderSortKey>,
 }
 
 impl OrderJournal {
@@ -42,7 +42,7 @@
             OrderCommand::Abandon { id, .. }
             | OrderCommand::Answer { id, .. }
             | OrderCommand::Grant { id, .. }
-            | OrderCommand::MarkUnknown { id, .. } => match OrderSlot::of(id) {
+            | OrderCommand::MarkUnknown { id, .. } => match OrderSortKey::of(id) {
                 Ok(slot) => self.apply_to(slot, command),
                 Err(fault) => OrderOutcome::KeyFault(fault),
             },
@@ -72,7 +72,7 @@
     /// Propose them when the VM has started anew: callers then hear that no answer will come, in
     /// place of asking again for ever. An order is not freed by it, and should its holder live after
     /// all, its answer is still taken.
-    pub fn orphans<'a>(
+    pub fn orphan_commands<'a>(
         &'a self,
         vm: &'a str,
         incarnation: Incarnation,
@@ -92,13 +92,18 @@
 
     /// Floor to ask for in [`OrderCommand::Prune`] at this wall clock, if it would forget anything.
     #[must_use]
-    pub fn prune_due(&self, at: u64) -> Option<OrderCommand> {
+    pub fn prune_command(&self, at: u64) -> Option<OrderCommand> {
         let floor = self.allowed(at.saturating_sub(self.limits.retention.as_secs()));
         let oldest = self.records.keys().next()?.minted;
         (oldest < floor).then_some(OrderCommand::Prune { floor })
     }
 
-    fn abandon(&mut self, slot: OrderSlot, body: BodyHash, holder: &OrderHolder) -> OrderOutcome {
+    fn abandon(
+        &mut self,
+        slot: OrderSortKey,
+        body: BodyHash,
+        holder: &OrderHolder,
+    ) -> OrderOutcome {
         if let Some(record) = self.records.get_mut(&slot) {
             return record.abandon(body, holder);
         }
@@ -116,12 +121,12 @@
 
     fn answer(
         &mut self,
-        slot: OrderSlot,
+        slot: OrderSortKey,
         holder: &OrderHolder,
         answer: &OrderAnswer,
     ) -> OrderOutcome {
         let Some(record) = self.records.get_mut(&slot) else {
-            return OrderOutcome::Stale(OrderStale::Missing);
+            return OrderOutcome::Stale(OrderStaleReason::Missing);
         };
         if let Err(stale) = record.check(holder) {
             return OrderOutcome::Stale(stale);
@@ -143,7 +148,7 @@
         OrderOutcome::Stored
     }
 
-    fn apply_to(&mut self, slot: OrderSlot, command: &OrderCommand) -> OrderOutcome {
+    fn apply_to(&mut self, slot: OrderSortKey, command: &OrderCommand) -> OrderOutcome {
         match command {
             OrderCommand::Abandon { body, holder, .. } => self.abandon(slot, *body, holder),
             OrderCommand::Answer { answer, holder, .. } => self.answer(slot, holder, answer),
@@ -171,7 +176,7 @@
 
     fn grant(
         &mut self,
-        slot: OrderSlot,
+        slot: OrderSortKey,
         at: u64,
         body: BodyHash,
         holder: &OrderHolder,
@@ -180,7 +185,7 @@
             return record.grant(body, holder);
         }
         if slot.minted > at.saturating_add(self.limits.skew.as_secs()) {
-            return OrderOutcome::KeyFault(OrderKeyFault::Early);
+            return OrderOutcome::KeyFault(OrderKeyError::Early);
         }
         let minted = slot.minted;
         let outcome = self.insert(
@@ -200,7 +205,7 @@
     /// again, it would run twice, so such a key is refused whatever the caller says.
     fn insert(
         &mut self,
-        slot: OrderSlot,
+        slot: OrderSortKey,
         record: OrderRecord,
         outcome: OrderOutcome,
     ) -> OrderOutcome {
@@ -223,9 +228,9 @@
         outcome
     }
 
-    fn mark_unknown(&mut self, slot: &OrderSlot, holder: &OrderHolder) -> OrderOutcome {
+    fn mark_unknown(&mut self, slot: &OrderSortKey, holder: &OrderHolder) -> OrderOutcome {
         let Some(record) = self.records.get_mut(slot) else {
-            return OrderOutcome::Stale(OrderStale::Missing);
+            return OrderOutcome::Stale(OrderStaleReason::Missing);
         };
         if let Err(stale) = record.check(holder) {
             return OrderOutcome::Stale(stale);
@@ -238,7 +243,7 @@
 
     fn prune(&mut self, floor: u64) -> OrderOutcome {
         self.floor = self.floor.max(self.allowed(floor));
-        let first = OrderSlot::first(self.floor);
+        let first = OrderSortKey::first(self.floor);
         let kept = self.records.split_off(&first);
         let gone = std::mem::replace(&mut self.records, kept);
         self.stored = self.stored.split_off(&first);
--- a/crates/ebonystand-core/src/order/order_key_fault.rs
+++ b/crates/ebonystand-core/src/order/order_key_error.rs
@@ -3,7 +3,7 @@
 /// Why a text is no order key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum OrderKeyFault {
+pub enum OrderKeyError {
     /// The key is minted too far ahead of the VM's clock.
     #[snafu(display("order key: minted in the future; its seconds must be the present time"))]
     Early,
@@ -27,7 +27,7 @@
     },
 }
 
-impl OrderKeyFault {
+impl OrderKeyError {
     /// Final answer to a request with such a key.
     ///
     /// A region may have been removed, or a residency narrowed, after the order ran, so these
--- a/crates/ebonystand-core/src/order/order_key_parts.rs
+++ b/crates/ebonystand-core/src/order/order_key_parts.rs
@@ -28,21 +28,21 @@
     ///
     /// # Errors
     ///
-    /// [`OrderKeyFault::Form`] if it is not of the form.
-    pub fn parse(key: &'a str) -> Result<Self, OrderKeyFault> {
+    /// [`OrderKeyError::Form`] if it is not of the form.
+    pub fn parse(key: &'a str) -> Result<Self, OrderKeyError> {
         let (region, rest) = match key.split_once('/') {
             Some((region, rest)) => (Some(region), rest),
             None => (None, key),
         };
-        let (seconds, name) = rest.split_once('-').ok_or(OrderKeyFault::Form)?;
+        let (seconds, name) = rest.split_once('-').ok_or(OrderKeyError::Form)?;
         let region_fits = region.is_none_or(|region| is_word(region, Self::REGION_LEN));
         let seconds_fit =
             seconds.len() == Self::SECONDS_LEN && seconds.bytes().all(|b| b.is_ascii_digit());
         if !region_fits || !seconds_fit || !is_word(name, Self::NAME_LEN) {
-            return Err(OrderKeyFault::Form);
+            return Err(OrderKeyError::Form);
         }
         Ok(Self {
-            minted: seconds.parse().map_err(|_| OrderKeyFault::Form)?,
+            minted: seconds.parse().map_err(|_| OrderKeyError::Form)?,
             name,
             region,
         })
--- a/crates/ebonystand-core/src/order/order_outcome.rs
+++ b/crates/ebonystand-core/src/order/order_outcome.rs
@@ -20,7 +20,7 @@
     /// The holder, and none but it, may send the order.
     Granted,
     /// The key is not of the form that [`OrderKeyParts`] takes.
-    KeyFault(OrderKeyFault),
+    KeyFault(OrderKeyError),
     /// Orders with keys minted before this floor, in seconds since 1970, are forgotten.
     Pruned {
         /// Floor now in force.
@@ -29,7 +29,7 @@
         records: u64,
     },
     /// The command came too late, or from one that does not hold the order; nothing has changed.
-    Stale(OrderStale),
+    Stale(OrderStaleReason),
     /// The answer is in the journal.
     Stored,
     /// Its holder sent it and got no answer.
--- a/crates/ebonystand-core/src/order/order_record.rs
+++ b/crates/ebonystand-core/src/order/order_record.rs
@@ -31,12 +31,12 @@
     }
 
     /// Whether an answer or a lack of one that `holder` tells concerns this order.
-    pub(crate) fn check(&self, holder: &OrderHolder) -> Result<(), OrderStale> {
+    pub(crate) fn check(&self, holder: &OrderHolder) -> Result<(), OrderStaleReason> {
         if self.holder != *holder {
-            return Err(OrderStale::Holder);
+            return Err(OrderStaleReason::Holder);
         }
         if self.state == OrderState::Abandoned {
-            return Err(OrderStale::Abandoned);
+            return Err(OrderStaleReason::Abandoned);
         }
         Ok(())
     }
@@ -51,7 +51,7 @@
         }
         match self.state {
             OrderState::Abandoned if self.outlived(holder) => {
-                OrderOutcome::Stale(OrderStale::Abandoned)
+                OrderOutcome::Stale(OrderStaleReason::Abandoned)
             }
             OrderState::Abandoned => {
                 *self = Self::granted(body, holder);
--- a/crates/ebonystand-core/src/order/order_region.rs
+++ b/crates/ebonystand-core/src/order/order_region.rs
@@ -9,22 +9,22 @@
 ///
 /// # Errors
 ///
-/// [`OrderKeyFault`] if the key is malformed, or its region is none of `regions` or outside the
+/// [`OrderKeyError`] if the key is malformed, or its region is none of `regions` or outside the
 /// workspace's residency.
 pub fn order_region(
     key: &str,
     workspace: &Workspace,
     regions: &BTreeMap<RegionId, Region>,
-) -> Result<RegionId, OrderKeyFault> {
+) -> Result<RegionId, OrderKeyError> {
     let parts = OrderKeyParts::parse(key)?;
     let region = parts.region.unwrap_or(&workspace.home);
     if !regions.contains_key(region) {
-        return Err(OrderKeyFault::Region {
+        return Err(OrderKeyError::Region {
             region: region.into(),
         });
     }
     if !workspace.residency.contains(region) {
-        return Err(OrderKeyFault::Residency {
+        return Err(OrderKeyError::Residency {
             region: region.into(),
         });
     }
--- a/crates/ebonystand-core/src/order/order_request.rs
+++ b/crates/ebonystand-core/src/order/order_request.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderRequest {
     /// Wall clock when it came, in seconds since 1970.
-    pub at: u64,
+    pub received_at: u64,
     /// What it asks for.
-    pub body: BodyHash,
+    pub body_hash: BodyHash,
     /// Last moment to send its first byte to an upstream. Leave time before `reply_by` for the
     /// order to run, or for an abandonment to become durable.
     pub dispatch_by: Duration,
--- a/crates/ebonystand-core/src/order/order_slot.rs
+++ b/crates/ebonystand-core/src/order/order_sort_key.rs
@@ -2,14 +2,14 @@
 
 /// Place of an order in its journal, in the order in which records are forgotten.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub(crate) struct OrderSlot {
+pub(crate) struct OrderSortKey {
     /// When the key was minted, in seconds since 1970; first, so that pruning splits off a range.
     pub(crate) minted: u64,
     /// The order.
     pub(crate) id: OrderId,
 }
 
-impl OrderSlot {
+impl OrderSortKey {
     /// Least slot of a time.
     pub(crate) fn first(minted: u64) -> Self {
         Self {
@@ -22,7 +22,7 @@
     }
 
     /// Slot of an order.
-    pub(crate) fn of(id: &OrderId) -> Result<Self, OrderKeyFault> {
+    pub(crate) fn of(id: &OrderId) -> Result<Self, OrderKeyError> {
         Ok(Self {
             id: id.clone(),
             minted: OrderKeyParts::parse(&id.key)?.minted,
--- a/crates/ebonystand-core/src/order/order_stale.rs
+++ b/crates/ebonystand-core/src/order/order_stale_reason.rs
@@ -2,7 +2,7 @@
 
 /// Why an [`OrderCommand`] changed nothing.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
-pub enum OrderStale {
+pub enum OrderStaleReason {
     /// The holder has abandoned the order.
     #[display("abandoned")]
     Abandoned,
--- a/crates/ebonystand-core/src/permit.rs
+++ b/crates/ebonystand-core/src/order_permit.rs
@@ -7,16 +7,16 @@
 /// A permit that is dropped leaves the order granted, and callers hear `unknown`.
 #[derive(Debug)]
 #[must_use = "an order whose permit is dropped stays unknown for ever"]
-pub struct Permit {
+pub struct OrderPermit {
     pub(crate) dispatch_by: Duration,
     pub(crate) holder: OrderHolder,
     pub(crate) id: OrderId,
 }
 
-impl Permit {
+impl OrderPermit {
     /// Gives it back unused.
-    pub fn give_back(self) -> Unsent {
-        Unsent {
+    pub fn return_unused(self) -> UnsentOrder {
+        UnsentOrder {
             holder: self.holder,
         }
     }
@@ -35,12 +35,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unsent`] if it is too late to send.
-    pub fn redeem(self, now: Duration) -> Result<Sending, Unsent> {
+    /// [`UnsentOrder`] if it is too late to send.
+    pub fn redeem(self, now: Duration) -> Result<InFlightOrder, UnsentOrder> {
         if now >= self.dispatch_by {
-            return Err(self.give_back());
+            return Err(self.return_unused());
         }
-        Ok(Sending {
+        Ok(InFlightOrder {
             dispatch_by: self.dispatch_by,
             holder: self.holder,
         })
--- a/crates/ebonystand-core/src/replica/mod.rs
+++ b/crates/ebonystand-core/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A replica of a replicated log: elections, commits, snapshots and members.
+//! One replica of a Raft group: elections, log replication, snapshots and membership changes.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/replica/replica_election.rs
+++ b/crates/ebonystand-core/src/replica/replica_election.rs
@@ -1,13 +1,15 @@
-//! How a replica becomes a leader, and helps others to.
+//! Elections: pre-votes, candidacy and votes for other replicas.
 
 use super::*;
 
 impl Replica {
-    /// Asks whether an election would succeed, before any term is used up.
+    /// Starts a pre-vote: asks the voters whether they would elect this replica, without raising
+    /// its term.
     ///
-    /// A replica that was cut off would otherwise come back with a high term and depose a leader
-    /// that works. Voters that hear a leader don't answer, so its term stays where it is.
-    pub(crate) fn ask_for_votes(&mut self) {
+    /// Otherwise a replica that was partitioned off would return with a high term and depose a
+    /// working leader. Voters that hear a leader don't answer a pre-vote, so the term stays
+    /// unchanged.
+    pub(crate) fn start_pre_vote(&mut self) {
         self.reset_election_timer();
         self.leader = None;
         if !self.log.members().voters.contains(&self.cfg.id) {
@@ -19,8 +21,8 @@
         self.count_votes();
     }
 
-    /// Follows `term`; a higher one makes it forget its vote.
-    pub(crate) fn follow(&mut self, term: Term) {
+    /// Becomes a follower in `term`. Clears the vote if the term is higher than the current one.
+    pub(crate) fn become_follower(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.hard_state = HardState {
                 term,
@@ -30,29 +32,40 @@
             self.leader = None;
         }
         if self.role == ReplicaRole::Leader {
-            self.stop_leading();
+            self.clear_leader_state();
         }
         self.set_role(ReplicaRole::Follower);
     }
 
+    /// Draws a random election deadline, so that replicas rarely become candidates at the same
+    /// time.
     pub(crate) fn reset_election_timer(&mut self) {
         let timeout = self.cfg.election_timeout;
         let extra = rand::RngExt::random_range(&mut self.rng, Duration::ZERO..timeout);
-        self.timer = self.now + timeout + extra;
+        self.next_tick = self.now + timeout + extra;
     }
 
-    pub(crate) fn vote(&mut self, from: &MemberId, term: Term, last: LogPosition, pre: bool) {
-        // While a leader is heard its lease may run: a vote now could make a second leader that
-        // acts beside the first. Silence, and not a refusal, keeps the candidate's term out too.
-        let bound = self.now < self.heard + self.cfg.election_timeout;
+    /// Answers a candidate's request for a vote, or for a pre-vote if `pre` is set.
+    pub(crate) fn handle_vote(
+        &mut self,
+        from: &MemberId,
+        term: Term,
+        last: LogPosition,
+        pre: bool,
+    ) {
+        // The lease of a leader that was heard recently may still run: a vote could elect a second
+        // leader that acts beside the first. Staying silent instead of refusing also keeps the
+        // candidate's higher term out of this replica.
+        let lease_may_run = self.now < self.leader_heard_at + self.cfg.election_timeout;
         if self.role == ReplicaRole::Leader {
-            self.readmit(from);
+            self.readmit_removed_member(from);
             return;
         }
-        if bound {
+        if lease_may_run {
             return;
         }
-        let mut granted = term >= self.hard_state.term && last.covers(self.log.last());
+        let mut granted =
+            term >= self.hard_state.term && last.is_up_to_date_with(self.log.last_position());
         if pre {
             granted &= term > self.hard_state.term;
             let term = if granted { term } else { self.hard_state.term };
@@ -60,7 +73,7 @@
             return;
         }
         if term > self.hard_state.term {
-            self.follow(term);
+            self.become_follower(term);
         }
         granted &= self
             .hard_state
@@ -70,15 +83,22 @@
         if granted {
             self.hard_state.voted_for = Some(from.clone());
             self.record_hard_state();
-            self.reset_unless_blank();
+            self.reset_election_timer_unless_empty();
         }
-        self.send_synced(from, ReplicaMessageBody::VoteReply { granted, pre });
+        self.send_when_synced(from, ReplicaMessageBody::VoteReply { granted, pre });
     }
 
-    pub(crate) fn vote_reply(&mut self, from: &MemberId, term: Term, granted: bool, pre: bool) {
+    /// Counts a vote or pre-vote for this replica, or adopts the higher term of a refusal.
+    pub(crate) fn handle_vote_reply(
+        &mut self,
+        from: &MemberId,
+        term: Term,
+        granted: bool,
+        pre: bool,
+    ) {
         if !granted {
             if term > self.hard_state.term {
-                self.follow(term);
+                self.become_follower(term);
             }
             return;
         }
@@ -93,8 +113,9 @@
         }
     }
 
-    /// Starts a term. The own vote counts once it is durable, as all others do.
-    fn campaign(&mut self) {
+    /// Starts an election in the next term. Like every other vote, the replica's own vote counts
+    /// only once it is durable.
+    fn start_election(&mut self) {
         self.hard_state = HardState {
             term: self.hard_state.term + 1,
             voted_for: Some(self.cfg.id.clone()),
@@ -108,9 +129,10 @@
             granted: true,
             pre: false,
         };
-        self.send_synced(&id, reply);
+        self.send_when_synced(&id, reply);
     }
 
+    /// Moves to the next stage of the election once a majority of voters has granted its vote.
     fn count_votes(&mut self) {
         let members = self.log.members();
         let votes = self.votes.intersection(&members.voters).count();
@@ -118,8 +140,8 @@
             return;
         }
         match self.role {
-            ReplicaRole::Candidate => self.start_leading(),
-            ReplicaRole::PreCandidate => self.campaign(),
+            ReplicaRole::Candidate => self.become_leader(),
+            ReplicaRole::PreCandidate => self.start_election(),
             ReplicaRole::Follower | ReplicaRole::Leader => {}
         }
     }
@@ -130,7 +152,7 @@
     }
 
     fn request_votes(&mut self, pre: bool) {
-        let last = self.log.last();
+        let last = self.log.last_position();
         let body = ReplicaMessageBody::Vote { last, pre };
         for voter in self.log.members().voters.clone() {
             if voter == self.cfg.id {
@@ -140,13 +162,15 @@
                 let term = self.hard_state.term + 1;
                 self.send(&voter, term, body.clone());
             } else {
-                self.send_synced(&voter, body.clone());
+                self.send_when_synced(&voter, body.clone());
             }
         }
     }
 
-    fn reset_unless_blank(&mut self) {
-        if !self.log.is_blank() {
+    /// Resets the election timer unless the log is empty: such a replica uses its timer to ask to
+    /// join.
+    fn reset_election_timer_unless_empty(&mut self) {
+        if !self.log.is_empty() {
             self.reset_election_timer();
         }
     }
--- a/crates/ebonystand-core/src/replica/replica_follower.rs
+++ b/crates/ebonystand-core/src/replica/replica_follower.rs
@@ -1,9 +1,10 @@
-//! How a replica takes what a leader sends.
+//! Follower: entries and snapshots received from a leader.
 
 use super::*;
 
 impl Replica {
-    pub(crate) fn append(
+    /// Appends a leader's entries and commits up to its commit index. The reply waits for the disk.
+    pub(crate) fn handle_append(
         &mut self,
         from: &MemberId,
         term: Term,
@@ -12,20 +13,28 @@
         previous: LogPosition,
         sent: Duration,
     ) {
-        if !self.hear_leader(from, term, sent) {
+        if !self.accept_leader(from, term, sent) {
             return;
         }
-        if let Some(hint) = self.mismatch(previous) {
-            self.answer(from, AppendOutcome::Mismatch { hint }, sent);
+        if let Some(hint) = self.find_mismatch(previous) {
+            self.reply_to_append(from, AppendOutcome::Mismatch { hint }, sent);
             return;
         }
         let index = previous.index + entries.len() as u64;
-        entries.into_iter().for_each(|entry| self.take_entry(entry));
-        self.answer(from, AppendOutcome::Matched { index }, sent);
+        entries
+            .into_iter()
+            .for_each(|entry| self.accept_entry(entry));
+        self.reply_to_append(from, AppendOutcome::Matched { index }, sent);
         self.commit_to(commit.min(index));
     }
 
-    pub(crate) fn snapshot_chunk(&mut self, from: &MemberId, term: Term, body: ReplicaMessageBody) {
+    /// Adds a chunk to the snapshot being received and installs the snapshot after the last chunk.
+    pub(crate) fn handle_snapshot_chunk(
+        &mut self,
+        from: &MemberId,
+        term: Term,
+        body: ReplicaMessageBody,
+    ) {
         let ReplicaMessageBody::SnapshotChunk {
             chunk,
             last,
@@ -37,58 +46,59 @@
         else {
             return;
         };
-        if !self.hear_leader(from, term, sent) {
+        if !self.accept_leader(from, term, sent) {
             return;
         }
-        if position.index <= self.commit {
-            let index = self.commit;
-            self.answer(from, AppendOutcome::Matched { index }, sent);
+        if position.index <= self.commit_index {
+            let index = self.commit_index;
+            self.reply_to_append(from, AppendOutcome::Matched { index }, sent);
             return;
         }
-        let mut incoming = self.incoming_at(position, term);
+        let mut incoming = self.take_incoming_snapshot(position, term);
         let received = incoming.push(offset, &chunk);
         if !last || received != offset + chunk.len() as u64 {
-            self.incoming = Some(incoming);
+            self.incoming_snapshot = Some(incoming);
             let reply = ReplicaMessageBody::SnapshotReply {
                 position,
                 received,
                 sent,
             };
-            self.send_synced(from, reply);
+            self.send_when_synced(from, reply);
             return;
         }
-        self.install(LogSnapshot {
+        self.install_snapshot(LogSnapshot {
             members,
             position,
             state: incoming.buf.into(),
         });
         let index = position.index;
-        self.answer(from, AppendOutcome::Matched { index }, sent);
+        self.reply_to_append(from, AppendOutcome::Matched { index }, sent);
     }
 
-    fn answer(&mut self, to: &MemberId, outcome: AppendOutcome, sent: Duration) {
-        self.send_synced(to, ReplicaMessageBody::AppendReply { outcome, sent });
+    fn reply_to_append(&mut self, to: &MemberId, outcome: AppendOutcome, sent: Duration) {
+        self.send_when_synced(to, ReplicaMessageBody::AppendReply { outcome, sent });
     }
 
-    /// Follows the leader of `term`; `false` if that term is over.
+    /// Accepts the sender as the leader of `term`. Returns `false` if the term is over.
     ///
-    /// The entries of a leader that was deposed while it was cut off or frozen must not be taken:
-    /// its successor may have committed others at the same indices.
-    fn hear_leader(&mut self, from: &MemberId, term: Term, sent: Duration) -> bool {
+    /// Entries of a leader that was deposed while it was partitioned off or frozen must be
+    /// rejected: its successor may have committed other entries at the same indices.
+    fn accept_leader(&mut self, from: &MemberId, term: Term, sent: Duration) -> bool {
         if term < self.hard_state.term {
-            let hint = self.log.last().index;
-            self.answer(from, AppendOutcome::Mismatch { hint }, sent);
+            let hint = self.log.last_position().index;
+            self.reply_to_append(from, AppendOutcome::Mismatch { hint }, sent);
             return false;
         }
-        self.follow(term);
-        self.heard = self.now;
+        self.become_follower(term);
+        self.leader_heard_at = self.now;
         self.leader = Some(from.clone());
         self.reset_election_timer();
         true
     }
 
-    fn incoming_at(&mut self, position: LogPosition, term: Term) -> SnapshotAssembly {
-        self.incoming
+    /// Takes the partly received snapshot of this position and term, or starts a new one.
+    fn take_incoming_snapshot(&mut self, position: LogPosition, term: Term) -> SnapshotAssembly {
+        self.incoming_snapshot
             .take()
             .filter(|incoming| incoming.position == position && incoming.term == term)
             .unwrap_or(SnapshotAssembly {
@@ -98,40 +108,42 @@
             })
     }
 
-    fn install(&mut self, snapshot: LogSnapshot) {
-        self.log.install(&snapshot);
-        self.commit = snapshot.position.index;
-        self.snapshot_asked = self.commit;
+    fn install_snapshot(&mut self, snapshot: LogSnapshot) {
+        self.log.install_snapshot(&snapshot);
+        self.commit_index = snapshot.position.index;
+        self.snapshot_requested_index = self.commit_index;
         self.store_snapshot(snapshot.clone());
         self.outputs
             .push(ReplicaOutput::InstallSnapshot { snapshot });
     }
 
-    /// Where the logs may meet, if the entry before the leader's entries is not here.
-    fn mismatch(&self, previous: LogPosition) -> Option<LogIndex> {
-        if previous.index < self.commit {
+    /// Returns the last index at which the logs may agree if this log lacks the entry that precedes
+    /// the leader's entries, and `None` if it has that entry.
+    fn find_mismatch(&self, previous: LogPosition) -> Option<LogIndex> {
+        if previous.index < self.commit_index {
             return None;
         }
-        match self.log.term(previous.index) {
+        match self.log.term_at(previous.index) {
             Some(term) if term == previous.term => None,
             Some(_) => {
-                let first = self.log.first_of_term(previous.index);
-                Some(self.commit.max(first.saturating_sub(1)))
+                let first = self.log.first_index_of_term(previous.index);
+                Some(self.commit_index.max(first.saturating_sub(1)))
             }
-            None => Some(self.log.last().index),
+            None => Some(self.log.last_position().index),
         }
     }
 
-    fn take_entry(&mut self, entry: LogEntry) {
+    /// Appends an entry unless the log has it, after dropping entries that conflict with it.
+    fn accept_entry(&mut self, entry: LogEntry) {
         let LogPosition { index, term } = entry.position;
-        if index <= self.commit {
+        if index <= self.commit_index {
             return;
         }
-        match self.log.term(index) {
+        match self.log.term_at(index) {
             Some(held) if held == term => return,
-            Some(_) => self.log.truncate(index),
+            Some(_) => self.log.truncate_from(index),
             None => {}
         }
-        self.append_record(entry);
+        self.append_entry(entry);
     }
 }
--- a/crates/ebonystand-core/src/replica/replica_ids.rs
+++ b/crates/ebonystand-core/src/replica/replica_ids.rs
@@ -1,10 +1,11 @@
-//! Numbers of the replicated log.
+//! Integer types of the replicated log.
 
-/// Place of an entry in the log; the founding snapshot is at 1.
+/// Index of an entry in the log. The snapshot that founds a group has index 1.
 pub type LogIndex = u64;
-/// Number of a batch of records, in the order in which they are handed to the storage.
+/// Number of a batch of records, increasing in the order in which batches are passed to the
+/// storage.
 pub type PersistToken = u64;
-/// Proposer's own number for a proposal or a read barrier; it never leaves the VM.
+/// Number that a proposer or reader assigns to its request. It never leaves the VM.
 pub type ProposalId = u64;
-/// Number of an election; at most one leader has it.
+/// Number of an election; each term has at most one leader.
 pub type Term = u64;
--- a/crates/ebonystand-core/src/replica/replica_input.rs
+++ b/crates/ebonystand-core/src/replica/replica_input.rs
@@ -1,46 +1,47 @@
 use super::*;
 
-/// What happens to a [`Replica`].
+/// Event that a driver passes to a [`Replica`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaInput {
-    /// A member is to be changed; answered by `Proposed`.
+    /// Request to change a member. [`ReplicaOutput::ProposalDone`] reports the result.
     ChangeMembers {
-        /// The change.
+        /// Requested change.
         change: MemberChange,
-        /// Proposer's number for it.
+        /// Proposer's number for the request.
         id: ProposalId,
     },
-    /// A message came in.
+    /// Message received from another replica.
     Message {
-        /// Its sender.
+        /// Replica that sent the message.
         from: MemberId,
-        /// The message.
+        /// Received message.
         message: ReplicaMessage,
     },
-    /// All records up to this token are synced.
+    /// Report that all batches of records up to `token` are synced to disk.
     Persisted {
-        /// Token of the newest one.
+        /// Token of the newest synced batch.
         token: PersistToken,
     },
-    /// A command is to be appended; answered by `Proposed`.
+    /// Request to append a command. [`ReplicaOutput::ProposalDone`] reports the result.
     Propose {
-        /// The command.
+        /// Command for the state machine.
         command: Bytes,
-        /// Proposer's number for it.
+        /// Proposer's number for the request.
         id: ProposalId,
     },
-    /// A read wants to see everything acknowledged so far; answered by `Readable`.
+    /// Request for a linearizable read: the read must see every command acknowledged so far.
+    /// [`ReplicaOutput::ReadBarrierDone`] reports the result.
     ReadBarrier {
-        /// Reader's number for it.
+        /// Reader's number for the request.
         id: ProposalId,
     },
-    /// Answer to `TakeSnapshot`.
+    /// Snapshot of the state machine, in response to [`ReplicaOutput::TakeSnapshot`].
     SnapshotTaken {
-        /// Last entry that the state contains.
+        /// Index of the last entry that the state contains.
         index: LogIndex,
-        /// The state.
+        /// Encoded state of the state machine.
         state: Bytes,
     },
-    /// [`Replica::deadline`] has come, or may have.
+    /// Timer event, due at [`Replica::deadline`]; an early one has no effect.
     Tick,
 }
--- a/crates/ebonystand-core/src/replica/replica_leader.rs
+++ b/crates/ebonystand-core/src/replica/replica_leader.rs
@@ -1,23 +1,25 @@
-//! What a leader does.
+//! Leader: replication, commits, linearizable reads and the lease.
 
 use super::*;
 
 impl Replica {
-    /// Bytes of commands in one message.
-    const APPEND_BYTES: usize = 256 * 1024;
+    /// Maximum size of the commands in one message, in bytes.
+    const MAX_APPEND_BYTES: usize = 256 * 1024;
 
-    /// Appends an entry of this term; it is sent when the step ends, while the own disk writes.
-    pub(crate) fn append_own(&mut self, payload: LogPayload) -> LogIndex {
+    /// Appends an entry in the leader's term. The entry goes to the other replicas when the step
+    /// ends, while the local disk still writes it.
+    pub(crate) fn append_own_entry(&mut self, payload: LogPayload) -> LogIndex {
         let position = LogPosition {
-            index: self.log.last().index + 1,
+            index: self.log.last_position().index + 1,
             term: self.hard_state.term,
         };
-        self.append_record(LogEntry { payload, position });
-        self.fresh = true;
+        self.append_entry(LogEntry { payload, position });
+        self.has_unsent_entries = true;
         position.index
     }
 
-    pub(crate) fn append_reply(
+    /// Updates a replica's progress from its answer and sends the entries that it still lacks.
+    pub(crate) fn handle_append_reply(
         &mut self,
         from: &MemberId,
         term: Term,
@@ -25,86 +27,95 @@
         sent: Duration,
     ) {
         let now = self.now;
-        let Some(progress) = self.answered(from, term, sent) else {
+        let Some(progress) = self.record_contact(from, term, sent) else {
             return;
         };
         match outcome {
-            AppendOutcome::Matched { index } => progress.matched(index),
+            AppendOutcome::Matched { index } => progress.record_match(index),
             AppendOutcome::Mismatch { .. } if progress.transfer.is_some() => return,
             AppendOutcome::Mismatch { hint } => {
-                if !progress.mismatched(hint, sent, now) {
+                if !progress.record_mismatch(hint, sent, now) {
                     return;
                 }
             }
         }
-        let behind = progress.next <= self.log.last().index;
-        if behind {
+        let is_behind = progress.next_index <= self.log.last_position().index;
+        if is_behind {
             self.replicate(&from.clone());
         }
     }
 
-    /// Steps down if no majority has answered for an election timeout. A leader that is cut off,
-    /// or thaws after a long freeze, would otherwise take proposals that it can never commit.
+    /// Steps down if no majority has answered for an election timeout. Otherwise a leader that is
+    /// partitioned off, or that resumes after a long freeze, would take proposals that it can never
+    /// commit.
     pub(crate) fn check_quorum(&mut self) {
         if self.role != ReplicaRole::Leader {
             return;
         }
-        let heard = self.quorum_contact().unwrap_or_default();
-        if self.now >= heard.max(self.led_since) + self.cfg.election_timeout {
-            self.follow(self.hard_state.term);
+        let last_heard = self.last_quorum_contact().unwrap_or_default();
+        if self.now >= last_heard.max(self.elected_at) + self.cfg.election_timeout {
+            self.become_follower(self.hard_state.term);
             self.leader = None;
             self.reset_election_timer();
         }
     }
 
-    pub(crate) fn heartbeat(&mut self) {
-        self.timer = self.now + self.cfg.heartbeat;
+    /// Sends each other replica the entries that it lacks, or a heartbeat.
+    pub(crate) fn send_heartbeats(&mut self) {
+        self.next_tick = self.now + self.cfg.heartbeat_interval;
         let peers: Vec<_> = self.progress.keys().cloned().collect();
         peers.iter().for_each(|peer| self.replicate(peer));
     }
 
-    /// What a leader does after each step: commit, answer reads, move members on.
-    pub(crate) fn lead_on(&mut self) {
+    /// Completes a step of the leader: commits entries, answers reads, advances membership and
+    /// sends new entries.
+    pub(crate) fn advance_as_leader(&mut self) {
         if self.role != ReplicaRole::Leader {
             return;
         }
-        let before = self.commit;
+        let old_commit_index = self.commit_index;
         self.advance_commit();
         if self.holds_lease(self.now) {
-            self.answer_barriers();
+            self.answer_read_barriers();
         }
-        self.move_members();
-        let committed = self.commit > before;
-        let fresh = std::mem::take(&mut self.fresh);
+        self.advance_membership();
+        let has_committed = self.commit_index > old_commit_index;
+        let has_unsent_entries = std::mem::take(&mut self.has_unsent_entries);
         let peers: Vec<_> = self.progress.keys().cloned().collect();
         for peer in &peers {
-            if committed {
+            if has_committed {
                 self.replicate(peer);
-            } else if fresh {
-                self.replicate_if_open(peer);
+            } else if has_unsent_entries {
+                self.replicate_if_window_open(peer);
             }
         }
     }
 
-    pub(crate) fn not_leader(&self) -> ProposalFault {
-        ProposalFault::NotLeader {
+    pub(crate) fn not_leader_error(&self) -> ProposalError {
+        ProposalError::NotLeader {
             leader: self.leader.clone(),
         }
     }
 
-    pub(crate) fn propose(&mut self, id: ProposalId, command: Bytes) {
+    /// Appends a proposed command, or fails the proposal if this replica is not the leader.
+    pub(crate) fn handle_propose(&mut self, id: ProposalId, command: Bytes) {
         if self.role != ReplicaRole::Leader {
-            let result = Err(self.not_leader());
-            self.outputs.push(ReplicaOutput::Proposed { id, result });
+            let result = Err(self.not_leader_error());
+            self.outputs
+                .push(ReplicaOutput::ProposalDone { id, result });
             return;
         }
-        let index = self.append_own(LogPayload::Command(command));
+        let index = self.append_own_entry(LogPayload::Command(command));
         self.proposals.insert(index, id);
     }
 
-    /// Newest time at which something was sent that a majority answered. The lease counts from
-    /// there, so that each of these voters refuses other candidates for longer than it runs.
-    pub(crate) fn quorum_contact(&self) -> Option<Duration> {
+    /// Returns the newest time such that a majority has answered a message sent at that time or
+    /// later.
+    ///
+    /// The lease counts from this time of sending. Each of these voters received the message later
+    /// and refuses other candidates for an election timeout from then, which is longer than the
+    /// lease.
+    pub(crate) fn last_quorum_contact(&self) -> Option<Duration> {
         let members = self.log.members();
         let mut contacts: Vec<_> = members
             .voters
@@ -113,23 +124,27 @@
                 if *voter == self.cfg.id {
                     return Some(self.now);
                 }
-                self.progress.get(voter).and_then(|p| p.contact)
+                self.progress.get(voter).and_then(|p| p.last_contact)
             })
             .collect();
         contacts.sort_unstable_by(|a, b| b.cmp(a));
         contacts.get(members.quorum() - 1).copied().flatten()
     }
 
-    pub(crate) fn read_barrier(&mut self, id: ProposalId) {
+    /// Queues a read until the leader holds its lease, or fails it if this replica is not the
+    /// leader.
+    pub(crate) fn handle_read_barrier(&mut self, id: ProposalId) {
         if self.role == ReplicaRole::Leader {
-            self.barriers.push_back(id);
+            self.read_barriers.push_back(id);
             return;
         }
-        let result = Err(self.not_leader());
-        self.outputs.push(ReplicaOutput::Readable { id, result });
+        let result = Err(self.not_leader_error());
+        self.outputs
+            .push(ReplicaOutput::ReadBarrierDone { id, result });
     }
 
-    pub(crate) fn snapshot_reply(
+    /// Sends the next snapshot chunk after the replica has confirmed the previous one.
+    pub(crate) fn handle_snapshot_reply(
         &mut self,
         from: &MemberId,
         term: Term,
@@ -138,7 +153,7 @@
         sent: Duration,
     ) {
         let now = self.now;
-        let Some(progress) = self.answered(from, term, sent) else {
+        let Some(progress) = self.record_contact(from, term, sent) else {
             return;
         };
         let Some(transfer) = &mut progress.transfer else {
@@ -148,146 +163,159 @@
             return;
         }
         transfer.offset = received;
-        transfer.sent = Some(now);
-        let chunk = transfer.chunk(now);
+        transfer.sent_at = Some(now);
+        let chunk = transfer.build_chunk(now);
         self.send(from, term, chunk);
     }
 
-    pub(crate) fn start_leading(&mut self) {
+    /// Becomes the leader of the current term and appends an empty entry, so that entries of former
+    /// terms can be committed.
+    pub(crate) fn become_leader(&mut self) {
         self.set_role(ReplicaRole::Leader);
         self.leader = Some(self.cfg.id.clone());
-        self.led_since = self.now;
+        self.elected_at = self.now;
         self.progress.clear();
-        self.term_start = self.log.last().index + 1;
-        self.append_own(LogPayload::Noop);
-        self.follow_members();
-        self.timer = self.now + self.cfg.heartbeat;
+        self.term_start_index = self.log.last_position().index + 1;
+        self.append_own_entry(LogPayload::Noop);
+        self.update_progress_members();
+        self.next_tick = self.now + self.cfg.heartbeat_interval;
     }
 
-    pub(crate) fn stop_leading(&mut self) {
+    /// Fails the open proposals and reads of a leader that steps down.
+    pub(crate) fn clear_leader_state(&mut self) {
         self.progress.clear();
         self.leader = None;
         for (_, id) in std::mem::take(&mut self.proposals) {
-            let result = Err(ProposalFault::Lost);
-            self.outputs.push(ReplicaOutput::Proposed { id, result });
+            let result = Err(ProposalError::LeadershipLost);
+            self.outputs
+                .push(ReplicaOutput::ProposalDone { id, result });
         }
-        for id in std::mem::take(&mut self.barriers) {
-            let result = Err(self.not_leader());
-            self.outputs.push(ReplicaOutput::Readable { id, result });
+        for id in std::mem::take(&mut self.read_barriers) {
+            let result = Err(self.not_leader_error());
+            self.outputs
+                .push(ReplicaOutput::ReadBarrierDone { id, result });
         }
         self.reset_election_timer();
     }
 
-    /// Commits what a majority holds, if it is of this leader's term.
+    /// Commits entries that a majority holds, provided that the last of them is of the leader's own
+    /// term.
     ///
     /// An entry of an older term may be on a majority and still be overwritten by a leader whose
-    /// log ends in a higher term. Once an entry of the own term is on a majority, no such leader
-    /// can be elected, and all before it is safe.
+    /// log ends in a higher term. Once an entry of the current term is on a majority, no such
+    /// leader can be elected, and all entries before it are safe as well.
     fn advance_commit(&mut self) {
         let members = self.log.members();
         let mut matched: Vec<_> = members
             .voters
             .iter()
-            .map(|voter| self.matched(voter))
+            .map(|voter| self.matched_index(voter))
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
         let index = matched.get(members.quorum() - 1).copied().unwrap_or(0);
-        if index > self.commit && self.log.term(index) == Some(self.hard_state.term) {
+        if index > self.commit_index && self.log.term_at(index) == Some(self.hard_state.term) {
             self.commit_to(index);
-            self.leave_if_removed();
+            self.step_down_if_removed();
         }
     }
 
-    fn answer_barriers(&mut self) {
-        for id in std::mem::take(&mut self.barriers) {
-            let result = Ok(self.commit);
-            self.outputs.push(ReplicaOutput::Readable { id, result });
+    fn answer_read_barriers(&mut self) {
+        for id in std::mem::take(&mut self.read_barriers) {
+            let result = Ok(self.commit_index);
+            self.outputs
+                .push(ReplicaOutput::ReadBarrierDone { id, result });
         }
     }
 
-    /// The sender's progress, if it answers this leader in this term.
-    fn answered(
+    /// Records that `from` answered a message sent at `sent`. Returns the sender's progress if this
+    /// replica is the leader of `term`.
+    fn record_contact(
         &mut self,
         from: &MemberId,
         term: Term,
         sent: Duration,
     ) -> Option<&mut ReplicaProgress> {
         if term > self.hard_state.term {
-            self.follow(term);
+            self.become_follower(term);
         }
         if self.role != ReplicaRole::Leader || term < self.hard_state.term || sent > self.now {
             return None;
         }
         let progress = self.progress.get_mut(from)?;
-        progress.contact = progress.contact.max(Some(sent));
+        progress.last_contact = progress.last_contact.max(Some(sent));
         Some(progress)
     }
 
-    fn append_after(&self, previous: LogIndex, entries: Vec<LogEntry>) -> ReplicaMessageBody {
+    /// Builds a message with `entries`, which follow the entry at index `previous`.
+    fn build_append(&self, previous: LogIndex, entries: Vec<LogEntry>) -> ReplicaMessageBody {
         ReplicaMessageBody::Append {
-            commit: self.commit,
+            commit: self.commit_index,
             entries,
             previous: LogPosition {
                 index: previous,
-                term: self.log.term(previous).unwrap_or(0),
+                term: self.log.term_at(previous).unwrap_or(0),
             },
             sent: self.now,
         }
     }
 
-    fn matched(&self, voter: &MemberId) -> LogIndex {
+    /// Returns the last index that is known to be durable on `voter`.
+    fn matched_index(&self, voter: &MemberId) -> LogIndex {
         if *voter == self.cfg.id {
-            return self.synced;
+            return self.synced_index;
         }
         self.progress
             .get(voter)
             .map_or(0, |progress| progress.matched)
     }
 
-    /// Sends what `peer` lacks; a heartbeat if that is nothing.
+    /// Sends `peer` the next entries or snapshot chunk that it lacks, or else a heartbeat.
     fn replicate(&mut self, peer: &MemberId) {
         let Some(progress) = self.progress.get_mut(peer) else {
             return;
         };
-        if progress.transfer.is_none() && progress.next <= self.log.base().index {
+        if progress.transfer.is_none() && progress.next_index <= self.log.base().index {
             progress.transfer = self.snapshot.clone().map(|snapshot| SnapshotTransfer {
                 offset: 0,
-                sent: None,
+                sent_at: None,
                 snapshot,
             });
         }
         let body = match &mut progress.transfer {
             Some(transfer) => {
-                let again = transfer
-                    .sent
+                let is_due = transfer
+                    .sent_at
                     .is_none_or(|sent| self.now >= sent + self.cfg.election_timeout);
-                if again {
-                    transfer.sent = Some(self.now);
-                    transfer.chunk(self.now)
+                if is_due {
+                    transfer.sent_at = Some(self.now);
+                    transfer.build_chunk(self.now)
                 } else {
-                    self.append_after(self.log.last().index, Vec::new())
+                    self.build_append(self.log.last_position().index, Vec::new())
                 }
             }
             None => {
-                let previous = progress.next - 1;
-                let entries = if progress.is_open() {
-                    self.log.slice(progress.next, Self::APPEND_BYTES)
+                let previous = progress.next_index - 1;
+                let entries = if progress.can_send_entries() {
+                    self.log
+                        .entries_from(progress.next_index, Self::MAX_APPEND_BYTES)
                 } else {
                     Vec::new()
                 };
-                progress.next += entries.len() as u64;
-                self.append_after(previous, entries)
+                progress.next_index += entries.len() as u64;
+                self.build_append(previous, entries)
             }
         };
         self.send(peer, self.hard_state.term, body);
     }
 
-    fn replicate_if_open(&mut self, peer: &MemberId) {
-        let open = self
+    /// Sends entries to `peer` unless a snapshot is being sent to it or too many entries are in
+    /// flight.
+    fn replicate_if_window_open(&mut self, peer: &MemberId) {
+        let is_open = self
             .progress
             .get(peer)
-            .is_some_and(|progress| progress.transfer.is_none() && progress.is_open());
-        if open {
+            .is_some_and(|progress| progress.transfer.is_none() && progress.can_send_entries());
+        if is_open {
             self.replicate(peer);
         }
     }
--- a/crates/ebonystand-core/src/replica/replica_log.rs
+++ b/crates/ebonystand-core/src/replica/replica_log.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// Entries and members that a replica holds in memory.
+/// In-memory part of a replica's log: the entries after `base` and the memberships in force there.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaLog {
-    /// Entry before the first one that is held.
+    /// Position of the entry before the first one in `entries`.
     base: LogPosition,
     entries: VecDeque<LogEntry>,
-    /// Members by the index from which they hold; the first one is at the snapshot or before.
+    /// Memberships, keyed by the index from which each is in force. The first one is at the
+    /// snapshot's index or below.
     memberships: BTreeMap<LogIndex, Membership>,
 }
 
@@ -15,7 +16,7 @@
         self.base
     }
 
-    /// Forgets entries up to `index`.
+    /// Drops the entries up to and including `index`.
     pub(crate) fn compact(&mut self, index: LogIndex) {
         while let Some(entry) = self.entries.front() {
             if entry.position.index > index {
@@ -31,40 +32,43 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// First index of the term that the entry at `index` has, as far as it is held.
-    pub(crate) fn first_of_term(&self, index: LogIndex) -> LogIndex {
-        let term = self.term(index);
+    /// Returns the index of the first in-memory entry that has the same term as the entry at
+    /// `index`.
+    pub(crate) fn first_index_of_term(&self, index: LogIndex) -> LogIndex {
+        let term = self.term_at(index);
         let mut first = index;
-        while first > self.base.index + 1 && self.term(first - 1) == term {
+        while first > self.base.index + 1 && self.term_at(first - 1) == term {
             first -= 1;
         }
         first
     }
 
-    /// Takes a snapshot in: entries behind it are kept if it is part of this log.
-    pub(crate) fn install(&mut self, snapshot: &LogSnapshot) {
+    /// Installs a snapshot. The entries after it are kept if its last entry is in this log, and all
+    /// entries are dropped otherwise.
+    pub(crate) fn install_snapshot(&mut self, snapshot: &LogSnapshot) {
         let position = snapshot.position;
-        if self.term(position.index) == Some(position.term) {
+        if self.term_at(position.index) == Some(position.term) {
             self.compact(position.index);
         } else {
             self.base = position;
             self.entries.clear();
             self.memberships.clear();
         }
-        self.settle_members(position.index, snapshot.members.clone());
+        self.compact_members(position.index, snapshot.members.clone());
     }
 
-    pub(crate) fn is_blank(&self) -> bool {
-        self.last().index == 0
+    pub(crate) fn is_empty(&self) -> bool {
+        self.last_position().index == 0
     }
 
-    pub(crate) fn last(&self) -> LogPosition {
+    pub(crate) fn last_position(&self) -> LogPosition {
         self.entries
             .back()
             .map_or(self.base, |entry| entry.position)
     }
 
-    /// Newest members; none while the log is empty.
+    /// Returns the newest membership, which need not be committed; an empty one if the log is
+    /// empty.
     pub(crate) fn members(&self) -> &Membership {
         static NONE: Membership = Membership {
             learners: BTreeSet::new(),
@@ -75,6 +79,7 @@
             .map_or(&NONE, |(_, members)| members)
     }
 
+    /// Returns the membership in force at `index`.
     pub(crate) fn members_at(&self, index: LogIndex) -> Membership {
         self.memberships
             .range(..=index)
@@ -83,7 +88,7 @@
             .unwrap_or_default()
     }
 
-    /// Index from which the newest members hold.
+    /// Returns the index of the entry that set the newest membership.
     pub(crate) fn members_index(&self) -> LogIndex {
         self.memberships
             .last_key_value()
@@ -98,40 +103,42 @@
         self.entries.push_back(entry);
     }
 
-    /// Members at a snapshot, in place of all that held before.
-    pub(crate) fn settle_members(&mut self, index: LogIndex, members: Membership) {
+    /// Replaces the memberships up to and including `index` by `members`.
+    pub(crate) fn compact_members(&mut self, index: LogIndex, members: Membership) {
         self.memberships = self.memberships.split_off(&(index + 1));
         self.memberships.insert(index, members);
     }
 
-    /// Entries from `from` on: at most `bytes` of commands, but one at least.
-    pub(crate) fn slice(&self, from: LogIndex, bytes: usize) -> Vec<LogEntry> {
-        let mut left = bytes;
-        let mut taken = Vec::new();
-        let mut index = from;
+    /// Returns entries from index `first` on. They contain at most `max_bytes` of commands, but at least
+    /// one entry is returned if there is one.
+    pub(crate) fn entries_from(&self, first: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
+        let mut bytes_left = max_bytes;
+        let mut entries = Vec::new();
+        let mut index = first;
         while let Some(entry) = self.entry(index) {
-            if !taken.is_empty() && entry.payload.len() > left {
+            if !entries.is_empty() && entry.payload.len() > bytes_left {
                 break;
             }
-            left = left.saturating_sub(entry.payload.len() + LogEntry::OVERHEAD);
-            taken.push(entry.clone());
+            bytes_left = bytes_left.saturating_sub(entry.payload.len() + LogEntry::OVERHEAD_BYTES);
+            entries.push(entry.clone());
             index += 1;
-            if left == 0 {
+            if bytes_left == 0 {
                 break;
             }
         }
-        taken
+        entries
     }
 
-    pub(crate) fn term(&self, index: LogIndex) -> Option<Term> {
+    /// Returns the term of the entry at `index`, if that entry is `base` or in memory.
+    pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
         }
         self.entry(index).map(|entry| entry.position.term)
     }
 
-    /// Drops the entries from `index` on.
-    pub(crate) fn truncate(&mut self, index: LogIndex) {
+    /// Drops the entries from `index` on and the memberships that they set.
+    pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let keep = index.saturating_sub(self.base.index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(0));
         self.memberships.split_off(&index);
--- a/crates/ebonystand-core/src/replica/replica_message.rs
+++ b/crates/ebonystand-core/src/replica/replica_message.rs
@@ -3,11 +3,13 @@
 /// A message between two replicas of a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaMessage {
-    /// What is said.
+    /// Content of the message.
     pub body: ReplicaMessageBody,
-    /// Sender's term, or the term that a pre-vote is about.
+    /// Term of the sender. In a pre-vote and in a granted reply to one, it is the term that the
+    /// election would start.
     pub term: Term,
-    /// Incarnation that the message is for; `None` if the sender cannot know it. A VM that came
-    /// back without its disk must not take what was meant for its predecessor.
+    /// Incarnation of the receiver, or `None` if the sender doesn't know it. A replica ignores
+    /// messages for another incarnation: one that returns without its disk must not process
+    /// messages meant for its predecessor.
     pub to: Option<Incarnation>,
 }
--- a/crates/ebonystand-core/src/replica/replica_message_body.rs
+++ b/crates/ebonystand-core/src/replica/replica_message_body.rs
@@ -1,71 +1,72 @@
 use super::*;
 
-/// What one replica says to another.
+/// Content of a [`ReplicaMessage`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ReplicaMessageBody {
-    /// A leader's entries; without any, a heartbeat.
+    /// Entries from a leader; without entries, a heartbeat.
     Append {
-        /// Leader's commit index.
+        /// Commit index of the leader.
         commit: LogIndex,
         /// Entries that follow `previous`.
         entries: Vec<LogEntry>,
-        /// Entry before them.
+        /// Position of the entry before `entries`.
         previous: LogPosition,
-        /// Leader's clock at sending; comes back in the answer.
+        /// Leader's monotonic clock when it sent the message. The reply returns it.
         sent: Duration,
     },
-    /// Answer to entries or to the last chunk of a snapshot.
+    /// Reply to `Append`, or to a snapshot chunk that ends the transfer.
     AppendReply {
-        /// What became of them.
+        /// Whether the logs agree.
         outcome: AppendOutcome,
-        /// `sent` of the message that is answered.
+        /// Value of `sent` in the message that this is a reply to.
         sent: Duration,
     },
-    /// Answer to `Join`: the sender's log is empty too.
+    /// Reply to `Join` of a replica whose own log is empty.
     Blank,
-    /// The sender's log is empty and it wants to be taken in.
+    /// Request of a replica with an empty log to be admitted to the group.
     Join,
-    /// Answer to `Join` by a replica that does not lead.
+    /// Reply to `Join` of a replica that is not the leader.
     Redirect {
-        /// VM that leads.
+        /// VM of the leader.
         leader: VmId,
     },
     /// Part of a snapshot.
     SnapshotChunk {
         /// Bytes of the state from `offset` on.
         chunk: Bytes,
-        /// Whether the state ends with this chunk.
+        /// Whether this is the last chunk of the state.
         last: bool,
-        /// Members at `position`.
+        /// Membership at `position`.
         members: Membership,
-        /// Bytes of the state before this chunk.
+        /// Offset of the chunk in the state, in bytes.
         offset: u64,
-        /// Last entry that the state contains.
+        /// Position of the last entry that the state contains.
         position: LogPosition,
-        /// Leader's clock at sending; comes back in the answer.
+        /// Leader's monotonic clock when it sent the message. The reply returns it.
         sent: Duration,
     },
-    /// Answer to a chunk that is not the last.
+    /// Reply to a snapshot chunk after which further chunks are missing.
     SnapshotReply {
         /// Position of the snapshot that is being received.
         position: LogPosition,
-        /// Bytes of it that are here.
+        /// Number of bytes of the snapshot received so far.
         received: u64,
-        /// `sent` of the message that is answered.
+        /// Value of `sent` in the message that this is a reply to.
         sent: Duration,
     },
-    /// A candidate asks for a vote.
+    /// Request of a candidate for a vote.
     Vote {
-        /// End of the candidate's log.
+        /// Position of the last entry in the candidate's log.
         last: LogPosition,
-        /// Only a question: nothing is promised, and the term is the one it would start.
+        /// Whether this is a pre-vote: the voter promises nothing, and the message's term is the
+        /// one that the election would start.
         pre: bool,
     },
-    /// Answer to `Vote`.
+    /// Reply to `Vote`.
     VoteReply {
-        /// Whether the candidate has the vote.
+        /// Whether the voter grants its vote.
         granted: bool,
-        /// Answer to a question only.
+        /// Whether this is the reply to a pre-vote.
         pre: bool,
     },
 }
--- a/crates/ebonystand-core/src/replica/replica_output.rs
+++ b/crates/ebonystand-core/src/replica/replica_output.rs
@@ -1,57 +1,57 @@
 use super::*;
 
-/// What a [`Replica`] wants done, in this order.
+/// Action that a driver must carry out for a [`Replica`], in the order returned.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaOutput {
-    /// An entry is committed; each index comes once per start, in order.
+    /// Apply a committed entry. Entries come in order, each index once after each start.
     Commit {
-        /// The entry.
+        /// Committed entry.
         entry: LogEntry,
     },
-    /// The state machine starts anew from this state; commits go on behind it.
+    /// Replace the state of the state machine by a snapshot. Later commits follow the snapshot.
     InstallSnapshot {
-        /// The snapshot.
+        /// Snapshot to install.
         snapshot: LogSnapshot,
     },
-    /// Records are to be appended and synced, then `Persisted` is due.
+    /// Append the records to the storage, sync them and report [`ReplicaInput::Persisted`].
     Persist {
-        /// The records, in order.
+        /// Records in the order in which they must be written.
         records: Vec<LogRecord>,
         /// Number of this batch.
         token: PersistToken,
     },
-    /// What became of a proposal; `Commit` of its entry came before.
-    Proposed {
-        /// Proposer's number.
+    /// Report the result of a proposal. The `Commit` of a committed entry precedes it.
+    ProposalDone {
+        /// Proposer's number for the request.
         id: ProposalId,
         /// Index of the committed entry.
-        result: Result<LogIndex, ProposalFault>,
+        result: Result<LogIndex, ProposalError>,
     },
-    /// What became of a read barrier.
-    Readable {
-        /// Reader's number.
+    /// Report the result of a read barrier.
+    ReadBarrierDone {
+        /// Reader's number for the request.
         id: ProposalId,
-        /// The state after this index, which is committed here, shows everything acknowledged
-        /// before the barrier was asked for.
-        result: Result<LogIndex, ProposalFault>,
+        /// Committed index up to which the reader must have applied entries. That state contains
+        /// every command acknowledged before the barrier was requested.
+        result: Result<LogIndex, ProposalError>,
     },
-    /// The role changed; for logs.
-    Role {
-        /// The new role.
+    /// Log that the replica's role has changed.
+    RoleChanged {
+        /// New role.
         role: ReplicaRole,
-        /// Term of that role.
+        /// Term of the new role.
         term: Term,
     },
-    /// A message is to be sent; it may be lost, doubled or late.
+    /// Send a message. The network may lose, duplicate or delay it.
     Send {
-        /// The message.
+        /// Message to send.
         message: ReplicaMessage,
-        /// VM that it goes to.
+        /// VM of the receiving replica.
         to: VmId,
     },
-    /// The state after this index is to be handed in by `SnapshotTaken`.
+    /// Take a snapshot of the state machine and return it as [`ReplicaInput::SnapshotTaken`].
     TakeSnapshot {
-        /// Last committed entry.
+        /// Index of the last entry that the state must contain.
         index: LogIndex,
     },
 }
--- a/crates/ebonystand-core/src/replica/replica_role.rs
+++ b/crates/ebonystand-core/src/replica/replica_role.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// What a replica does in its term.
+/// Role of a replica in its term.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum ReplicaRole {
-    /// Asks for votes.
+    /// Requests votes in an election.
     #[display("candidate")]
     Candidate,
     /// Follows a leader, or waits for one.
     #[display("follower")]
     Follower,
-    /// Orders and commits entries.
+    /// Appends entries to the log, replicates and commits them.
     #[display("leader")]
     Leader,
-    /// Asks whether it would get votes.
+    /// Asks the voters in a pre-vote whether they would elect it.
     #[display("pre-candidate")]
     PreCandidate,
 }
--- a/crates/ebonystand-core/src/replica/replica_status.rs
+++ b/crates/ebonystand-core/src/replica/replica_status.rs
@@ -1,24 +1,25 @@
 use super::*;
 
-/// View of a [`Replica`], for status pages and metrics.
+/// Snapshot of a [`Replica`]'s state for status pages and metrics.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaStatus {
-    /// Last committed entry.
-    pub commit: LogIndex,
-    /// The replica.
+    /// Index of the last committed entry.
+    pub commit_index: LogIndex,
+    /// Identity of the replica.
     pub id: MemberId,
-    /// End of the log.
-    pub last: LogPosition,
+    /// Position of the last entry in the log.
+    pub last_position: LogPosition,
     /// Leader of the term, if it is known.
     pub leader: Option<MemberId>,
-    /// Until when this replica may act as the leader, on its own clock; compare it at each use.
+    /// Time on the replica's monotonic clock until which it may act as the leader; `None` if it may
+    /// not. Must be compared with the clock at each use.
     pub lease_until: Option<Duration>,
-    /// Members as of the log's end.
+    /// Membership set by the newest entry of the log.
     pub members: Membership,
-    /// Role.
+    /// Current role.
     pub role: ReplicaRole,
-    /// Last entry in the snapshot.
-    pub snapshot: LogIndex,
-    /// Term.
+    /// Index of the last entry that the snapshot contains; 0 without a snapshot.
+    pub snapshot_index: LogIndex,
+    /// Current term.
     pub term: Term,
 }
--- a/crates/ebonystand-core/src/replica/state.rs
+++ b/crates/ebonystand-core/src/replica/state.rs
@@ -1,134 +1,148 @@
-//! A replica of a replicated log: elections, commits, snapshots and members, without I/O.
+//! State of a replica of a Raft group. It performs no I/O.
 //!
-//! How it is driven: [`Replica::step`] takes what happened and returns what to do, in order. At
-//! least [`ReplicaInput::Tick`] is due at [`Replica::deadline`].
+//! A driver passes each event to [`Replica::step`] and carries out the returned outputs in order.
+//! It
+//! passes [`ReplicaInput::Tick`] once [`Replica::deadline`] has come.
 //!
-//! - **Durability.** `Persist` hands out records; when they are synced, `Persisted` with the same
-//!   token is due. The replica itself holds back each message that promises them until then, and
-//!   counts its own entries towards a majority only then.
-//! - **Start.** If the folder held a snapshot, the first step returns `InstallSnapshot`; commits
-//!   follow behind it. Each index is committed once per start.
-//! - **Founding.** A replica with an empty log asks the configured VMs to take it in. The first of
-//!   them by name founds the group once all others have answered that their logs are empty too.
-//!   A group that exists answers by taking it in as a learner, and promotes it once it has caught
-//!   up; then its predecessor on that VM leaves.
-//! - **Authority.** [`Replica::holds_lease`] says whether a leader may act by itself. The lease
-//!   counts from the sending of a heartbeat that a majority answered, and is shorter by the clock
-//!   drift than the time for which these voters refuse every other candidate. Clocks must run on
-//!   while a process is stopped; a VM that is paused together with its clock is not covered.
-//! - **Fencing.** The term serves as the fencing number.
+//! - **Durability.** `Persist` returns records. Once they are synced, the driver passes `Persisted`
+//!   with the same token. Until then the replica itself holds back each message that promises these
+//!   records, and doesn't count its own entries towards a majority.
+//! - **Start.** If the data folder holds a snapshot, the first step returns `InstallSnapshot`, and
+//!   commits follow after the snapshot. Each index is committed once per start.
+//! - **Founding.** A replica with an empty log asks the founding VMs to admit it. The first of them
+//!   by name founds the group once all others have answered that their logs are empty too. An
+//!   existing group admits the replica as a learner, promotes it once it has caught up, and then
+//!   removes the previous member on that VM.
+//! - **Leader lease.** [`Replica::holds_lease`] tells whether a leader may act on its own. The
+//!   lease starts when a heartbeat that a majority answers is sent. It is shorter, by the clock
+//!   drift, than the time during which these voters refuse every other candidate. Clocks must run
+//!   on while a process is stopped; a VM that is paused together with its clock isn't covered.
+//! - **Fencing.** The term serves as the fencing token.
 
 use super::*;
 
-/// A replica of a replicated log.
+/// A replica of a Raft group.
 #[derive(Debug)]
 pub struct Replica {
-    pub(crate) barriers: VecDeque<ProposalId>,
+    /// Read barriers that wait until the leader holds its lease.
+    pub(crate) read_barriers: VecDeque<ProposalId>,
     pub(crate) cfg: ReplicaConfig,
-    pub(crate) commit: LogIndex,
-    /// VMs that answered that their logs are empty.
-    pub(crate) founders: BTreeMap<VmId, MemberId>,
-    /// Entries were appended in this step and are to be sent.
-    pub(crate) fresh: bool,
+    /// Index of the last committed entry.
+    pub(crate) commit_index: LogIndex,
+    /// Founding VMs that have answered that their logs are empty, with their replicas.
+    pub(crate) empty_log_vms: BTreeMap<VmId, MemberId>,
+    /// Whether entries were appended in this step and must be sent at its end.
+    pub(crate) has_unsent_entries: bool,
     pub(crate) hard_state: HardState,
-    /// When a leader was last heard, or the start.
-    pub(crate) heard: Duration,
-    /// Messages of this step that promise records which may not be synced.
-    pub(crate) held: Vec<HeldMessage>,
-    pub(crate) incoming: Option<SnapshotAssembly>,
+    /// When a message of a leader was last received, or the start of this replica.
+    pub(crate) leader_heard_at: Duration,
+    /// Messages of this step that promise records which may not be synced yet.
+    pub(crate) deferred: Vec<DeferredMessage>,
+    /// Snapshot that is being received.
+    pub(crate) incoming_snapshot: Option<SnapshotAssembly>,
     pub(crate) leader: Option<MemberId>,
-    /// When this replica was elected.
-    pub(crate) led_since: Duration,
+    /// When this replica was last elected.
+    pub(crate) elected_at: Duration,
     pub(crate) log: ReplicaLog,
     pub(crate) now: Duration,
     pub(crate) outputs: Vec<ReplicaOutput>,
+    /// Progress of the other members, while this replica leads.
     pub(crate) progress: BTreeMap<MemberId, ReplicaProgress>,
+    /// Proposals that wait for their entries to be committed, by index.
     pub(crate) proposals: BTreeMap<LogIndex, ProposalId>,
-    /// Records of this step.
+    /// Records of this step, which become one batch.
     pub(crate) records: Vec<LogRecord>,
     pub(crate) rng: rand_pcg::Pcg64Mcg,
     pub(crate) role: ReplicaRole,
     pub(crate) snapshot: Option<LogSnapshot>,
-    pub(crate) snapshot_asked: LogIndex,
-    /// Last entry that is synced here. Read while leading only: the own vote was synced after all
-    /// that a former leader had replaced, so the log only grows from there.
-    pub(crate) synced: LogIndex,
-    /// Index of the first entry of this replica's own term as a leader.
-    pub(crate) term_start: LogIndex,
-    pub(crate) timer: Duration,
-    pub(crate) token: PersistToken,
-    pub(crate) unsynced: VecDeque<UnsyncedBatch>,
+    /// Index of the last snapshot that was requested, installed or loaded.
+    pub(crate) snapshot_requested_index: LogIndex,
+    /// Index of the last entry that is synced on this replica. Only valid while it leads: its own
+    /// vote was synced after every entry that a former leader replaced, so the log only grows from
+    /// there.
+    pub(crate) synced_index: LogIndex,
+    /// Index of the first entry that this replica appended as the leader of its term.
+    pub(crate) term_start_index: LogIndex,
+    /// When the replica must act next: heartbeat, election or request to join.
+    pub(crate) next_tick: Duration,
+    /// Token of the last batch of records.
+    pub(crate) last_token: PersistToken,
+    /// Batches passed to the storage and not yet reported as synced, oldest first.
+    pub(crate) unsynced_batches: VecDeque<UnsyncedBatch>,
+    /// Members that have granted their vote or pre-vote in the current election.
     pub(crate) votes: BTreeSet<MemberId>,
 }
 
 impl Replica {
-    /// When the next `Tick` is due.
+    /// Returns when the next [`ReplicaInput::Tick`] is due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
-        self.timer
+        self.next_tick
     }
 
-    /// Whether this replica may act as the leader at `now`; see [`Self::lease_until`].
+    /// Returns whether this replica may act as the leader at `now`; see [`Self::lease_until`].
     #[must_use]
     pub fn holds_lease(&self, now: Duration) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// This replica's name, which goes with each message that it sends.
+    /// Returns the identity of this replica, which accompanies each message that it sends.
     #[must_use]
     pub fn id(&self) -> &MemberId {
         &self.cfg.id
     }
 
-    /// The leader of the term, if it is known.
+    /// Returns the leader of the term, if it is known.
     #[must_use]
     pub fn leader(&self) -> Option<&MemberId> {
         self.leader.as_ref()
     }
 
-    /// Until when this replica may act as the leader: it has committed an entry of its own term,
-    /// and no other replica can lead before then.
+    /// Returns the time until which this replica may act as the leader: it has committed an entry
+    /// of its own term, and no other replica can become the leader before then.
     ///
-    /// Whoever acts compares this with a clock read just before. A remembered `true` of
-    /// [`Self::holds_lease`] outlives the lease when the process is stopped in between, and the
-    /// thawed leader would act beside its successor.
+    /// Callers must compare this time with a clock read just before they act. A remembered result
+    /// of [`Self::holds_lease`] outlives the lease if the process is stopped in between: when it
+    /// resumes, the former leader would act beside its successor.
     #[must_use]
     pub fn lease_until(&self) -> Option<Duration> {
-        if self.role != ReplicaRole::Leader || self.commit < self.term_start {
+        if self.role != ReplicaRole::Leader || self.commit_index < self.term_start_index {
             return None;
         }
-        self.quorum_contact().map(|sent| sent + self.cfg.lease())
+        self.last_quorum_contact()
+            .map(|sent| sent + self.cfg.lease_duration())
     }
 
-    /// Starts from what the data folder holds; `seed` makes the election timeouts differ.
+    /// Creates a replica from the state in the data folder. `seed` makes election timeouts differ
+    /// between replicas.
     #[must_use]
     pub fn new(cfg: ReplicaConfig, state: DurableState, now: Duration, seed: u64) -> Self {
         let mut log = ReplicaLog::default();
         let mut outputs = Vec::new();
         if let Some(snapshot) = &state.snapshot {
-            log.install(snapshot);
+            log.install_snapshot(snapshot);
             outputs.push(ReplicaOutput::InstallSnapshot {
                 snapshot: snapshot.clone(),
             });
         }
         state.entries.into_iter().for_each(|entry| log.push(entry));
-        let commit = state.snapshot.as_ref().map_or(0, |s| s.position.index);
-        let synced = log.last().index;
+        let commit_index = state.snapshot.as_ref().map_or(0, |s| s.position.index);
+        let synced_index = log.last_position().index;
         let mut replica = Self {
-            barriers: VecDeque::new(),
+            read_barriers: VecDeque::new(),
             cfg,
-            commit,
-            founders: BTreeMap::new(),
-            fresh: false,
+            commit_index,
+            empty_log_vms: BTreeMap::new(),
+            has_unsent_entries: false,
             hard_state: state.hard_state,
-            // A voter that answered a heartbeat and restarted has forgotten that it did. If it
-            // voted at once, a second leader could arise while the first still holds its lease.
-            // So a start counts as having heard a leader: the wait outlasts every lease.
-            heard: now,
-            held: Vec::new(),
-            incoming: None,
+            // A voter that answered a heartbeat and restarted has forgotten it. If it voted at
+            // once, a second leader could be elected while the first still holds its lease. A start
+            // therefore counts as having heard a leader: the wait outlasts every lease.
+            leader_heard_at: now,
+            deferred: Vec::new(),
+            incoming_snapshot: None,
             leader: None,
-            led_since: now,
+            elected_at: now,
             log,
             now,
             outputs,
@@ -138,42 +152,42 @@
             rng: rand::SeedableRng::seed_from_u64(seed),
             role: ReplicaRole::Follower,
             snapshot: state.snapshot,
-            snapshot_asked: commit,
-            synced,
-            term_start: 0,
-            timer: now,
-            token: 0,
-            unsynced: VecDeque::new(),
+            snapshot_requested_index: commit_index,
+            synced_index,
+            term_start_index: 0,
+            next_tick: now,
+            last_token: 0,
+            unsynced_batches: VecDeque::new(),
             votes: BTreeSet::new(),
         };
-        if !replica.log.is_blank() {
+        if !replica.log.is_empty() {
             replica.reset_election_timer();
         }
         replica
     }
 
-    /// What the replica looks like.
+    /// Returns a snapshot of the replica's state.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         ReplicaStatus {
-            commit: self.commit,
+            commit_index: self.commit_index,
             id: self.cfg.id.clone(),
-            last: self.log.last(),
+            last_position: self.log.last_position(),
             leader: self.leader.clone(),
             lease_until: self.lease_until(),
             members: self.log.members().clone(),
             role: self.role,
-            snapshot: self.snapshot_index(),
+            snapshot_index: self.snapshot_index(),
             term: self.hard_state.term,
         }
     }
 
-    /// Takes one input at `now` and returns what to do. `now` never goes back.
+    /// Handles one input at `now` and returns the outputs to carry out. `now` must never decrease.
     pub fn step(&mut self, now: Duration, input: ReplicaInput) -> Vec<ReplicaOutput> {
         self.step_all(now, [input])
     }
 
-    /// Takes inputs that came together: their records make one batch, and their entries go to
+    /// Handles inputs that arrived together. Their records form one batch, and their entries go to
     /// each other replica in one message.
     pub fn step_all(
         &mut self,
@@ -182,32 +196,36 @@
     ) -> Vec<ReplicaOutput> {
         self.now = self.now.max(now);
         self.check_quorum();
-        inputs.into_iter().for_each(|input| self.accept(input));
-        self.lead_on();
-        self.finish()
+        inputs
+            .into_iter()
+            .for_each(|input| self.handle_input(input));
+        self.advance_as_leader();
+        self.finish_step()
     }
 
-    pub(crate) fn append_record(&mut self, entry: LogEntry) {
+    /// Appends an entry to the log and to the records of this step.
+    pub(crate) fn append_entry(&mut self, entry: LogEntry) {
         self.records.push(LogRecord::Append(entry.clone()));
         self.log.push(entry);
     }
 
-    /// Commits all up to `index`.
+    /// Commits the entries up to and including `index`, as far as the log has them.
     pub(crate) fn commit_to(&mut self, index: LogIndex) {
-        while self.commit < index {
-            let Some(entry) = self.log.entry(self.commit + 1).cloned() else {
+        while self.commit_index < index {
+            let Some(entry) = self.log.entry(self.commit_index + 1).cloned() else {
                 return;
             };
-            self.commit += 1;
+            self.commit_index += 1;
             self.outputs.push(ReplicaOutput::Commit { entry });
-            if let Some(id) = self.proposals.remove(&self.commit) {
-                let result = Ok(self.commit);
-                self.outputs.push(ReplicaOutput::Proposed { id, result });
+            if let Some(id) = self.proposals.remove(&self.commit_index) {
+                let result = Ok(self.commit_index);
+                self.outputs
+                    .push(ReplicaOutput::ProposalDone { id, result });
             }
         }
     }
 
-    /// Sends at once: nothing that is promised needs the disk.
+    /// Sends a message without waiting for the disk, since it promises no unsynced record.
     pub(crate) fn send(&mut self, to: &MemberId, term: Term, body: ReplicaMessageBody) {
         self.outputs.push(ReplicaOutput::Send {
             message: ReplicaMessage {
@@ -219,10 +237,11 @@
         });
     }
 
-    /// Sends once every record up to this step is synced. An answer that went out earlier would
-    /// count towards a majority, and a crash would then lose what the majority holds.
-    pub(crate) fn send_synced(&mut self, to: &MemberId, body: ReplicaMessageBody) {
-        self.held.push(HeldMessage {
+    /// Sends a message once every record up to this step is synced. A reply sent earlier would
+    /// count towards a majority, and a crash could then lose entries that the majority is believed
+    /// to hold.
+    pub(crate) fn send_when_synced(&mut self, to: &MemberId, body: ReplicaMessageBody) {
+        self.deferred.push(DeferredMessage {
             body,
             term: self.hard_state.term,
             to: to.clone(),
@@ -232,7 +251,7 @@
     pub(crate) fn set_role(&mut self, role: ReplicaRole) {
         if self.role != role {
             let term = self.hard_state.term;
-            self.outputs.push(ReplicaOutput::Role { role, term });
+            self.outputs.push(ReplicaOutput::RoleChanged { role, term });
         }
         self.role = role;
     }
@@ -241,96 +260,108 @@
         self.snapshot.as_ref().map_or(0, |s| s.position.index)
     }
 
-    /// Takes a snapshot in, own or received.
+    /// Stores a snapshot that this replica has taken or received.
     pub(crate) fn store_snapshot(&mut self, snapshot: LogSnapshot) {
         self.records.push(LogRecord::Snapshot(snapshot.clone()));
         self.snapshot = Some(snapshot);
     }
 
-    fn accept(&mut self, input: ReplicaInput) {
+    fn handle_input(&mut self, input: ReplicaInput) {
         match input {
-            ReplicaInput::ChangeMembers { change, id } => self.change_members(id, &change),
-            ReplicaInput::Message { from, message } => self.receive(&from, message),
-            ReplicaInput::Persisted { token } => self.persisted(token),
-            ReplicaInput::Propose { command, id } => self.propose(id, command),
-            ReplicaInput::ReadBarrier { id } => self.read_barrier(id),
-            ReplicaInput::SnapshotTaken { index, state } => self.snapshot_taken(index, state),
-            ReplicaInput::Tick => self.tick(),
+            ReplicaInput::ChangeMembers { change, id } => self.handle_change_members(id, &change),
+            ReplicaInput::Message { from, message } => self.handle_message(&from, message),
+            ReplicaInput::Persisted { token } => self.handle_persisted(token),
+            ReplicaInput::Propose { command, id } => self.handle_propose(id, command),
+            ReplicaInput::ReadBarrier { id } => self.handle_read_barrier(id),
+            ReplicaInput::SnapshotTaken { index, state } => {
+                self.handle_snapshot_taken(index, state)
+            }
+            ReplicaInput::Tick => self.handle_tick(),
         }
     }
 
-    /// Asks last, so that the records of the entries are handed out before the snapshot's, also
-    /// when the answer comes at once. On disk an entry behind its own snapshot would be a gap.
-    fn ask_for_snapshot(&mut self) {
-        if self.commit >= self.snapshot_asked + self.cfg.snapshot_threshold {
-            self.snapshot_asked = self.commit;
-            self.outputs
-                .push(ReplicaOutput::TakeSnapshot { index: self.commit });
+    /// Requests a snapshot after enough commits. Must run at the end of a step: the records of the
+    /// entries then precede the snapshot's record even if the driver answers at once. On disk, an
+    /// entry written after the snapshot that contains it would look like a gap.
+    fn request_snapshot(&mut self) {
+        if self.commit_index >= self.snapshot_requested_index + self.cfg.snapshot_threshold {
+            self.snapshot_requested_index = self.commit_index;
+            self.outputs.push(ReplicaOutput::TakeSnapshot {
+                index: self.commit_index,
+            });
         }
     }
 
-    fn finish(&mut self) -> Vec<ReplicaOutput> {
-        let mut held = std::mem::take(&mut self.held);
+    /// Collects the step's records into a batch and releases messages that need no sync.
+    fn finish_step(&mut self) -> Vec<ReplicaOutput> {
+        let mut held = std::mem::take(&mut self.deferred);
         if !self.records.is_empty() {
-            self.token += 1;
-            self.unsynced.push_back(UnsyncedBatch {
-                held: Vec::new(),
-                last: self.log.last().index,
-                token: self.token,
+            self.last_token += 1;
+            self.unsynced_batches.push_back(UnsyncedBatch {
+                deferred: Vec::new(),
+                last_index: self.log.last_position().index,
+                token: self.last_token,
             });
             self.outputs.push(ReplicaOutput::Persist {
                 records: std::mem::take(&mut self.records),
-                token: self.token,
+                token: self.last_token,
             });
         }
-        match self.unsynced.back_mut() {
-            Some(batch) => batch.held.append(&mut held),
-            None => held.into_iter().for_each(|held| self.release(held)),
+        match self.unsynced_batches.back_mut() {
+            Some(batch) => batch.deferred.append(&mut held),
+            None => held.into_iter().for_each(|held| self.send_deferred(held)),
         }
-        self.ask_for_snapshot();
+        self.request_snapshot();
         std::mem::take(&mut self.outputs)
     }
 
-    fn persisted(&mut self, token: PersistToken) {
+    /// Marks batches as synced and sends the messages that waited for them.
+    fn handle_persisted(&mut self, token: PersistToken) {
         while self
-            .unsynced
+            .unsynced_batches
             .front()
             .is_some_and(|batch| batch.token <= token)
         {
-            let Some(batch) = self.unsynced.pop_front() else {
+            let Some(batch) = self.unsynced_batches.pop_front() else {
                 return;
             };
-            self.synced = batch.last;
-            batch.held.into_iter().for_each(|held| self.release(held));
+            self.synced_index = batch.last_index;
+            batch
+                .deferred
+                .into_iter()
+                .for_each(|held| self.send_deferred(held));
         }
     }
 
-    fn receive(&mut self, from: &MemberId, message: ReplicaMessage) {
+    /// Handles a message unless it is meant for another incarnation of this VM.
+    fn handle_message(&mut self, from: &MemberId, message: ReplicaMessage) {
         if message.to.is_some_and(|to| to != self.cfg.id.incarnation) || *from == self.cfg.id {
             return;
         }
-        self.take(from, message.term, message.body);
+        self.handle_body(from, message.term, message.body);
     }
 
-    /// Sends a message whose records are synced; the own vote goes straight back in.
-    fn release(&mut self, held: HeldMessage) {
+    /// Sends a message whose records are synced. This replica's own vote is processed directly.
+    fn send_deferred(&mut self, held: DeferredMessage) {
         if held.to == self.cfg.id {
-            self.take(&held.to, held.term, held.body);
+            self.handle_body(&held.to, held.term, held.body);
         } else {
             self.send(&held.to, held.term, held.body);
         }
     }
 
-    fn snapshot_taken(&mut self, index: LogIndex, state: Bytes) {
-        let Some(term) = self.log.term(index) else {
+    /// Stores a snapshot of the state machine and drops entries that it makes unnecessary.
+    fn handle_snapshot_taken(&mut self, index: LogIndex, state: Bytes) {
+        let Some(term) = self.log.term_at(index) else {
             return;
         };
-        if index > self.commit || index <= self.snapshot_index() {
+        if index > self.commit_index || index <= self.snapshot_index() {
             return;
         }
         let members = self.log.members_at(index);
-        self.log.settle_members(index, members.clone());
-        // Followers that are a little behind get entries, not the whole state.
+        self.log.compact_members(index, members.clone());
+        // Entries are kept for followers that are slightly behind, which then don't need the whole
+        // snapshot.
         self.log
             .compact(index.saturating_sub(self.cfg.snapshot_threshold / 2));
         self.store_snapshot(LogSnapshot {
@@ -340,7 +371,7 @@
         });
     }
 
-    fn take(&mut self, from: &MemberId, term: Term, body: ReplicaMessageBody) {
+    fn handle_body(&mut self, from: &MemberId, term: Term, body: ReplicaMessageBody) {
         use ReplicaMessageBody as Body;
         match body {
             Body::Append {
@@ -348,30 +379,33 @@
                 entries,
                 previous,
                 sent,
-            } => self.append(from, term, commit, entries, previous, sent),
-            Body::AppendReply { outcome, sent } => self.append_reply(from, term, outcome, sent),
-            Body::Blank => self.blank_reply(from),
-            Body::Join => self.join(from),
-            Body::Redirect { leader } => self.redirected(leader),
-            Body::SnapshotChunk { .. } => self.snapshot_chunk(from, term, body),
+            } => self.handle_append(from, term, commit, entries, previous, sent),
+            Body::AppendReply { outcome, sent } => {
+                self.handle_append_reply(from, term, outcome, sent)
+            }
+            Body::Blank => self.handle_empty_log_reply(from),
+            Body::Join => self.handle_join(from),
+            Body::Redirect { leader } => self.handle_redirect(leader),
+            Body::SnapshotChunk { .. } => self.handle_snapshot_chunk(from, term, body),
             Body::SnapshotReply {
                 position,
                 received,
                 sent,
-            } => self.snapshot_reply(from, term, position, received, sent),
-            Body::Vote { last, pre } => self.vote(from, term, last, pre),
-            Body::VoteReply { granted, pre } => self.vote_reply(from, term, granted, pre),
+            } => self.handle_snapshot_reply(from, term, position, received, sent),
+            Body::Vote { last, pre } => self.handle_vote(from, term, last, pre),
+            Body::VoteReply { granted, pre } => self.handle_vote_reply(from, term, granted, pre),
         }
     }
 
-    fn tick(&mut self) {
-        if self.now < self.timer {
+    /// Sends heartbeats, starts an election or asks to join, if that is due.
+    fn handle_tick(&mut self) {
+        if self.now < self.next_tick {
             return;
         }
         match self.role {
-            ReplicaRole::Leader => self.heartbeat(),
-            _ if self.log.is_blank() => self.ask_to_join(),
-            _ => self.ask_for_votes(),
+            ReplicaRole::Leader => self.send_heartbeats(),
+            _ if self.log.is_empty() => self.request_join(),
+            _ => self.start_pre_vote(),
         }
     }
 }
--- a/crates/ebonystand-core/src/state_machine.rs
+++ b/crates/ebonystand-core/src/state_machine.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// All state that the replicated log makes: equal entries in equal order give equal state.
+/// Replicated state machine: the configuration and the journal of once-only orders. Equal entries
+/// applied in equal order give equal state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StateMachine {
     catalog: Catalog,
@@ -8,7 +9,7 @@
 }
 
 impl StateMachine {
-    /// Applies the next entry.
+    /// Applies the next committed command.
     pub fn apply(&mut self, command: &Command) -> CommandOutcome {
         match command {
             Command::Barrier => CommandOutcome::Barrier(self.catalog.version()),
@@ -17,24 +18,25 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Makes a change that the log's members have accepted, on a VM that is not one of them;
-    /// whether it was the next one.
-    pub fn follow(&mut self, accepted: &AcceptedChange) -> bool {
+    /// Applies a change that the log's members have accepted, on a VM that isn't one of them.
+    /// Returns whether it was the next change.
+    pub fn apply_accepted(&mut self, accepted: &AcceptedChange) -> bool {
         self.catalog.follow(accepted)
     }
 
-    /// Takes over a newer document, on a VM that is not a member of the log; whether it was newer.
-    pub fn install(&mut self, document: Document) -> bool {
+    /// Replaces the configuration by a newer document, on a VM that isn't a member of the log.
+    /// Returns whether the document was newer.
+    pub fn install_document(&mut self, document: Document) -> bool {
         self.catalog.install(document)
     }
 
-    /// The once-only orders.
+    /// Returns the journal of once-only orders.
     #[must_use]
     pub fn orders(&self) -> &OrderJournal {
         &self.orders
--- a/crates/ebonystand-core/src/unsynced_batch.rs
+++ b/crates/ebonystand-core/src/unsynced_batch.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Records that were handed to the storage and are not known to be synced.
+/// Batch of records that was passed to the storage and isn't known to be synced.
 #[derive(Clone, Debug)]
 pub(crate) struct UnsyncedBatch {
-    /// Messages that promise them.
-    pub(crate) held: Vec<HeldMessage>,
-    /// End of the log with them.
-    pub(crate) last: LogIndex,
+    /// Messages that promise the batch's records and wait for the sync.
+    pub(crate) deferred: Vec<DeferredMessage>,
+    /// Index of the last log entry at the end of the batch.
+    pub(crate) last_index: LogIndex,
     pub(crate) token: PersistToken,
 }
--- a/crates/ebonystand-core/tests/log_model/lease_spec.rs
+++ b/crates/ebonystand-core/tests/log_model/lease_spec.rs
@@ -1,27 +1,30 @@
-//! A leader, two voters and their clocks, in ticks. One of the clocks may miss or gain a tick.
+//! Specification of the lease: a leader, two voters and their clocks, counted in ticks. One of the
+//! clocks may lose or gain a tick.
 
 use super::Safeguard;
 
-/// Ticks for which a voter that heard the leader refuses candidates.
+/// Ticks during which a voter that heard the leader refuses candidates.
 const ELECTION: u8 = 4;
-/// Ticks by which clocks may differ over that time.
+/// Ticks by which two clocks may differ over `ELECTION` ticks.
 const DRIFT: u8 = 1;
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Voter {
-    /// Age, on the leader's clock, of the newest heartbeat that it answered.
+    /// Age of the newest heartbeat that the voter answered, on the leader's clock.
     answered: u8,
-    /// Age of a heartbeat on its way, and whether it is the answer that is.
-    flight: Option<(u8, bool)>,
-    /// Own ticks since it heard the leader.
-    heard: u8,
-    /// Whom it voted for in the second term.
+    /// Age of a heartbeat in flight, and whether the voter has answered it already.
+    heartbeat: Option<(u8, bool)>,
+    /// Ticks of the voter's clock since it heard the leader.
+    ticks_since_heard: u8,
+    /// Candidate that the voter voted for in the second term.
     voted: Option<usize>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseState {
+    /// Number of ticks by which clocks may still deviate.
     drift: u8,
+    /// Number of restarts that may still happen.
     restarts: u8,
     voters: [Voter; 2],
 }
@@ -30,8 +33,8 @@
     pub fn new() -> Self {
         let voter = Voter {
             answered: ELECTION * 2,
-            flight: None,
-            heard: 0,
+            heartbeat: None,
+            ticks_since_heard: 0,
             voted: None,
         };
         Self {
@@ -41,8 +44,9 @@
         }
     }
 
-    /// The first leader's lease runs although a second leader has both other votes.
-    pub fn is_bad(&self, off: Option<Safeguard>) -> bool {
+    /// Returns whether the first leader still holds its lease although a second leader has the
+    /// votes of both voters.
+    pub fn is_unsafe(&self, off: Option<Safeguard>) -> bool {
         let lease = match off {
             Some(Safeguard::DriftMargin) => ELECTION,
             _ => ELECTION - DRIFT,
@@ -73,18 +77,20 @@
     fn heartbeat(&self, i: usize, off: Option<Safeguard>) -> Vec<Self> {
         let mut next = self.clone();
         let mut lost = self.clone();
-        lost.voters[i].flight = None;
+        lost.voters[i].heartbeat = None;
         let voter = &mut next.voters[i];
-        match voter.flight {
-            None => voter.flight = Some((0, false)),
+        match voter.heartbeat {
+            None => voter.heartbeat = Some((0, false)),
             Some((age, true)) => {
                 let from_sending = off != Some(Safeguard::LeaseFromSending);
                 voter.answered = voter.answered.min(if from_sending { age } else { 0 });
-                voter.flight = None;
+                voter.heartbeat = None;
+            }
+            // A voter that has voted in the second term refuses the first leader.
+            Some(_) if voter.voted.is_some() => voter.heartbeat = None,
+            Some((age, false)) => {
+                (voter.ticks_since_heard, voter.heartbeat) = (0, Some((age, true)))
             }
-            // A voter of the second term refuses the first leader.
-            Some(_) if voter.voted.is_some() => voter.flight = None,
-            Some((age, false)) => (voter.heard, voter.flight) = (0, Some((age, true))),
         }
         vec![next, lost]
     }
@@ -92,7 +98,7 @@
     fn restart(&self, i: usize, off: Option<Safeguard>) -> Option<Self> {
         let mut next = self.clone();
         next.restarts = self.restarts.checked_sub(1)?;
-        next.voters[i].heard = match off {
+        next.voters[i].ticks_since_heard = match off {
             Some(Safeguard::StartWait) => ELECTION,
             _ => 0,
         };
@@ -103,8 +109,8 @@
         let mut next = self.clone();
         for (voter, own) in next.voters.iter_mut().zip([a, b]) {
             voter.answered = (voter.answered + leader).min(ELECTION * 2);
-            voter.heard = (voter.heard + own).min(ELECTION);
-            if let Some((age, _)) = &mut voter.flight {
+            voter.ticks_since_heard = (voter.ticks_since_heard + own).min(ELECTION);
+            if let Some((age, _)) = &mut voter.heartbeat {
                 *age = (*age + leader).min(ELECTION * 2);
             }
         }
@@ -114,7 +120,7 @@
     fn vote(&self, i: usize, candidate: usize, off: Option<Safeguard>) -> Option<Self> {
         let mut next = self.clone();
         let voter = &mut next.voters[i];
-        let free = voter.heard >= ELECTION || off == Some(Safeguard::LeaseWait);
+        let free = voter.ticks_since_heard >= ELECTION || off == Some(Safeguard::LeaseWait);
         if voter.voted.is_some() || !free {
             return None;
         }
--- a/crates/ebonystand-core/tests/log_model/log_spec.rs
+++ b/crates/ebonystand-core/tests/log_model/log_spec.rs
@@ -1,14 +1,19 @@
-//! Three VMs, of which one may lose its disk and come back as a fourth member. A request and its
-//! answer are one action, which may fail to happen; an old leader goes on until it is told.
+//! Specification of the log: three VMs, one of which may lose its disk and return as a fourth
+//! member. A request and its answer are one action, which may fail to happen. A former leader
+//! continues until it hears of a higher term.
 
 use super::Safeguard;
 
 const SLOTS: usize = 4;
-/// Slot of the member that comes back with an empty disk.
+/// Slot of the member that returns with an empty disk.
 const NEWCOMER: usize = 3;
+/// Bit set of the initial voters.
 const FOUNDERS: u8 = 0b0111;
+/// Maximum length of a log.
 const LOG: usize = 4;
 
+/// Limits of a search: whether members may change, and how many crashes, lost disks, log entries
+/// and terms there are at most.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Bounds {
     changes: bool,
@@ -19,6 +24,7 @@
 }
 
 impl Bounds {
+    /// Changes of members with a lost disk.
     pub const MEMBERS: Self = Self {
         changes: true,
         crashes: 0,
@@ -26,7 +32,7 @@
         entries: 3,
         terms: 3,
     };
-    /// A crash beside the lost disk, on a shorter log.
+    /// A crash in addition to the lost disk, on a shorter log.
     pub const SECOND_FAULT: Self = Self {
         changes: true,
         crashes: 1,
@@ -34,6 +40,7 @@
         entries: 2,
         terms: 3,
     };
+    /// Elections and a crash, without changes of members.
     pub const TERMS: Self = Self {
         changes: false,
         crashes: 1,
@@ -45,31 +52,34 @@
 
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 struct Entry {
-    by: u8,
+    proposer: u8,
     term: u8,
-    /// Voters from here on; 0 for a command.
+    /// Bit set of the voters from this entry on; 0 for a command.
     voters: u8,
 }
 
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 struct Node {
     commit: u8,
-    gone: bool,
-    leads: bool,
+    is_absent: bool,
+    is_leader: bool,
     len: u8,
     log: [Entry; LOG],
     matched: [u8; SLOTS],
     term: u8,
-    /// Voters that granted their vote to it in its term.
+    /// Bit set of the voters that granted their vote in the node's term.
     votes: u8,
-    /// Slot it voted for, plus one.
+    /// Slot that the node voted for, plus one; 0 if none.
     voted: u8,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LogState {
-    pub bad: bool,
+    /// Whether two committed entries conflict, a term has two leaders, or a promotion endangers
+    /// committed entries.
+    pub is_unsafe: bool,
     bounds: Bounds,
+    /// Entries committed by any leader so far.
     committed: [Entry; LOG],
     committed_len: u8,
     nodes: [Node; SLOTS],
@@ -84,7 +94,8 @@
         (self.entries().last().map_or(0, |e| e.term), self.len)
     }
 
-    /// Newest voters in the log, and the length of the log with them.
+    /// Returns the newest voters in the log, and the length of the log up to the entry that set
+    /// them.
     fn voters(&self) -> (u8, u8) {
         let found = self.entries().iter().rposition(|e| e.voters != 0);
         found.map_or((FOUNDERS, 0), |at| (self.log[at].voters, at as u8 + 1))
@@ -94,7 +105,7 @@
         if term > self.term {
             (self.term, self.voted) = (term, 0);
         }
-        (self.leads, self.votes) = (false, 0);
+        (self.is_leader, self.votes) = (false, 0);
     }
 }
 
@@ -105,11 +116,11 @@
 impl LogState {
     pub fn new(bounds: Bounds) -> Self {
         let mut nodes = [Node::default(); SLOTS];
-        (nodes[0].term, nodes[0].voted, nodes[0].leads) = (1, 1, true);
+        (nodes[0].term, nodes[0].voted, nodes[0].is_leader) = (1, 1, true);
         (nodes[1].term, nodes[1].voted) = (1, 1);
-        nodes[NEWCOMER].gone = true;
+        nodes[NEWCOMER].is_absent = true;
         Self {
-            bad: false,
+            is_unsafe: false,
             bounds,
             committed: [Entry::default(); LOG],
             committed_len: 0,
@@ -119,18 +130,18 @@
 
     pub fn successors(&self, off: Option<Safeguard>) -> Vec<Self> {
         let mut next = Vec::new();
-        if self.bad {
+        if self.is_unsafe {
             return next;
         }
-        for i in (0..SLOTS).filter(|i| !self.nodes[*i].gone) {
+        for i in (0..SLOTS).filter(|i| !self.nodes[*i].is_absent) {
             next.extend(self.campaign(i));
             next.extend(self.crash(i, off));
             next.extend(self.lose_disk(i, off));
-            for j in (0..SLOTS).filter(|j| *j != i && !self.nodes[*j].gone) {
+            for j in (0..SLOTS).filter(|j| *j != i && !self.nodes[*j].is_absent) {
                 next.extend(self.vote(i, j));
                 next.extend(self.append(i, j, off));
             }
-            if self.nodes[i].leads {
+            if self.nodes[i].is_leader {
                 next.extend(self.propose(i, 0));
                 next.extend(self.commit(i, off));
                 self.change(i, off, &mut next);
@@ -143,7 +154,7 @@
         let mut next = *self;
         let leader = self.nodes[i];
         let node = &mut next.nodes[j];
-        if !leader.leads {
+        if !leader.is_leader {
             return None;
         }
         if leader.term < node.term && off != Some(Safeguard::TermCheck) {
@@ -162,7 +173,7 @@
     fn campaign(&self, i: usize) -> Option<Self> {
         let mut next = *self;
         let node = &mut next.nodes[i];
-        if node.leads || node.term >= self.bounds.terms || node.voters().0 & (1 << i) == 0 {
+        if node.is_leader || node.term >= self.bounds.terms || node.voters().0 & (1 << i) == 0 {
             return None;
         }
         node.follow(node.term + 1);
@@ -185,17 +196,18 @@
             let changed = voters ^ (1 << j);
             let promotes = changed > voters;
             let behind = promotes && node.matched[j] < node.commit;
-            if promotes && self.nodes[j].gone || behind && off != Some(Safeguard::LearnerFirst) {
+            if promotes && self.nodes[j].is_absent || behind && off != Some(Safeguard::LearnerFirst)
+            {
                 continue;
             }
             let Some(mut state) = self.propose(i, changed) else {
                 continue;
             };
-            // What is committed and on a majority must stay on one: else the loss of one more disk
-            // could leave nobody who may be elected and holds it.
+            // Committed entries that a majority holds must stay on a majority: otherwise the loss
+            // of one more disk could leave no electable replica that holds them.
             let holders = (0..SLOTS).filter(|j| self.holds_committed(*j));
             let holders = holders.fold(0, |set, j| set | 1 << j);
-            state.bad |= promotes && majority(holders, voters) && !majority(holders, changed);
+            state.is_unsafe |= promotes && majority(holders, voters) && !majority(holders, changed);
             next.push(state);
         }
     }
@@ -214,7 +226,7 @@
         node.commit = len;
         for at in 0..usize::from(len) {
             if at < usize::from(self.committed_len) {
-                next.bad |= node.log[at] != self.committed[at];
+                next.is_unsafe |= node.log[at] != self.committed[at];
             } else {
                 next.committed[at] = node.log[at];
                 next.committed_len = at as u8 + 1;
@@ -240,7 +252,7 @@
 
     fn holds_committed(&self, j: usize) -> bool {
         let len = usize::from(self.committed_len);
-        !self.nodes[j].gone && self.nodes[j].entries().starts_with(&self.committed[..len])
+        !self.nodes[j].is_absent && self.nodes[j].entries().starts_with(&self.committed[..len])
     }
 
     fn lose_disk(&self, i: usize, off: Option<Safeguard>) -> Option<Self> {
@@ -248,8 +260,8 @@
         next.bounds.disks = self.bounds.disks.checked_sub(1)?;
         next.nodes[i] = Node::default();
         if off != Some(Safeguard::NewIdentity) {
-            next.nodes[i].gone = true;
-            next.nodes[NEWCOMER].gone = false;
+            next.nodes[i].is_absent = true;
+            next.nodes[NEWCOMER].is_absent = false;
         }
         Some(next)
     }
@@ -260,13 +272,17 @@
         if node.len >= self.bounds.entries || voters.count_ones() == 1 {
             return None;
         }
-        let (by, term) = (i as u8, node.term);
-        node.log[usize::from(node.len)] = Entry { by, term, voters };
+        let (proposer, term) = (i as u8, node.term);
+        node.log[usize::from(node.len)] = Entry {
+            proposer,
+            term,
+            voters,
+        };
         node.len += 1;
         Some(next)
     }
 
-    /// Voter `j` answers candidate `i`.
+    /// Lets voter `j` answer candidate `i`.
     fn vote(&self, i: usize, j: usize) -> Option<Self> {
         let mut next = *self;
         let candidate = self.nodes[i];
@@ -288,11 +304,11 @@
         let candidate = &mut next.nodes[i];
         candidate.votes |= 1 << j;
         if majority(candidate.votes, candidate.voters().0) {
-            (candidate.leads, candidate.votes) = (true, 0);
+            (candidate.is_leader, candidate.votes) = (true, 0);
             (candidate.commit, candidate.matched) = (0, [0; SLOTS]);
             let term = candidate.term;
-            let leaders = next.nodes.iter().filter(|n| n.leads && n.term == term);
-            next.bad |= leaders.count() > 1;
+            let leaders = next.nodes.iter().filter(|n| n.is_leader && n.term == term);
+            next.is_unsafe |= leaders.count() > 1;
         }
         Some(next)
     }
--- a/crates/ebonystand-core/tests/log_model/main.rs
+++ b/crates/ebonystand-core/tests/log_model/main.rs
@@ -1,5 +1,6 @@
-//! Exhaustive search of two small specifications, of the log and of the leader's lease. With every
-//! safeguard on no reachable state is bad; with any one off, a shortest way to a bad one exists.
+//! Exhaustive search of two small specifications: the replicated log and the leader's lease. With
+//! every safeguard enabled no reachable state is unsafe. With any one disabled, the search finds a
+//! shortest path to an unsafe state.
 
 mod lease_spec;
 mod log_spec;
@@ -11,32 +12,33 @@
     rstest::rstest,
 };
 
-/// A rule that the real replica keeps, too.
+/// A rule that the replica follows as well.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Safeguard {
-    /// Only what is of the leader's own term is committed by counting.
+    /// A leader commits by counting copies only entries of its own term.
     CommitOwnTerm,
-    /// The lease is shorter than the voters' refusal by the clock drift.
+    /// The lease is shorter than the time during which voters refuse candidates, by the clock
+    /// drift.
     DriftMargin,
-    /// Entries are synced before they are answered.
+    /// Entries are synced to disk before they are acknowledged.
     EntriesDurable,
-    /// A learner is promoted only once it holds all that is committed.
+    /// A learner is promoted only once it holds all committed entries.
     LearnerFirst,
     /// A voter that hears a leader refuses every other candidate.
     LeaseWait,
-    /// The lease counts from the sending of what was answered, not from the answer.
+    /// The lease starts when the message was sent, not when its answer arrived.
     LeaseFromSending,
-    /// A lost disk comes back as another member.
+    /// A VM that lost its disk returns as a different member.
     NewIdentity,
-    /// No change of members before the last one is committed.
+    /// A change of members waits until the previous one is committed.
     OneChange,
-    /// No change of members before an entry of the own term is committed.
+    /// A change of members waits until an entry of the leader's own term is committed.
     OwnTermFirst,
     /// A restarted voter refuses candidates as if it had just heard a leader.
     StartWait,
-    /// Messages of a former term are refused.
+    /// Messages of a former term are rejected.
     TermCheck,
-    /// The vote is synced before it is answered.
+    /// A vote is synced to disk before it is sent.
     VoteDurable,
 }
 
@@ -45,7 +47,7 @@
     for bounds in [Bounds::MEMBERS, Bounds::SECOND_FAULT, Bounds::TERMS] {
         let start = LogState::new(bounds);
         let states = bfs_reach(start, |state| state.successors(None))
-            .inspect(|state| assert!(!state.bad, "{state:?}"))
+            .inspect(|state| assert!(!state.is_unsafe, "{state:?}"))
             .count();
         println!("log: {states} states, {bounds:?}");
     }
@@ -62,7 +64,7 @@
 #[case(Safeguard::VoteDurable, Bounds::TERMS)]
 fn the_log_needs(#[case] off: Safeguard, #[case] bounds: Bounds) {
     let start = LogState::new(bounds);
-    let path = bfs(&start, |s| s.successors(Some(off)), |s| s.bad);
+    let path = bfs(&start, |s| s.successors(Some(off)), |s| s.is_unsafe);
     let path = path.expect("a counterexample");
     println!("without {off:?}: bad after {} steps", path.len() - 1);
 }
@@ -70,7 +72,7 @@
 #[test]
 fn no_reachable_state_of_the_lease_is_bad() {
     let states = bfs_reach(LeaseState::new(), |state| state.successors(None))
-        .inspect(|state| assert!(!state.is_bad(None), "{state:?}"))
+        .inspect(|state| assert!(!state.is_unsafe(None), "{state:?}"))
         .count();
     println!("lease: {states} states");
 }
@@ -82,7 +84,11 @@
 #[case(Safeguard::StartWait)]
 fn the_lease_needs(#[case] off: Safeguard) {
     let off = Some(off);
-    let path = bfs(&LeaseState::new(), |s| s.successors(off), |s| s.is_bad(off));
+    let path = bfs(
+        &LeaseState::new(),
+        |s| s.successors(off),
+        |s| s.is_unsafe(off),
+    );
     let path = path.expect("a counterexample");
     println!("without {off:?}: bad after {} steps", path.len() - 1);
 }
--- a/crates/ebonystand-core/tests/open_group.rs
+++ b/crates/ebonystand-core/tests/open_group.rs
@@ -1,4 +1,5 @@
-//! A group that takes in any VM of the fleet: joining, taking the place of a lost voter, coming back.
+//! Tests of a group that admits any VM of the fleet: joining, replacing a lost voter, and
+//! returning.
 
 use {
     bytes::Bytes,
@@ -9,10 +10,10 @@
     },
 };
 
-/// VMs with their disks and messages that arrive after a step of time.
+/// Simulated VMs with disks; each message arrives in the next step of time.
 struct Net {
     disks: BTreeMap<VmId, DurableState>,
-    /// VMs that are stopped or cut off.
+    /// VMs that are stopped or partitioned off.
     down: BTreeSet<VmId>,
     flying: VecDeque<(VmId, MemberId, ReplicaMessage)>,
     next_incarnation: u64,
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Starts a VM with its disk, or with an empty one.
+    /// Starts a VM with its existing disk, or with an empty one.
     fn start(&mut self, vm: &str, seeds: &[&str], may_found: bool) {
         let incarnation = self.next_incarnation;
         let disk = self.disks.entry(vm.into()).or_insert_with(|| {
             self.next_incarnation += 1;
-            DurableState::blank(incarnation)
+            DurableState::empty(incarnation)
         });
         let members = seeds.iter().map(|seed| Box::from(*seed)).collect();
         let cfg = ReplicaConfig {
@@ -47,8 +48,8 @@
                 incarnation: disk.incarnation,
                 vm: vm.into(),
             },
-            may_found,
-            open: true,
+            may_found_group: may_found,
+            admits_any_vm: true,
             ..ReplicaConfig::new(vm.into(), members)
         };
         let seed = vm.bytes().map(u64::from).sum();
@@ -110,21 +111,21 @@
         up.find_map(|(_, replica)| replica.holds_lease(self.now).then_some(replica))
     }
 
-    /// Voters as the leader has them.
+    /// Returns the VMs of the voters according to the leader.
     fn voters(&self) -> BTreeSet<VmId> {
         let members = self.leader().map(|leader| leader.status().members);
         let voters = members.into_iter().flat_map(|members| members.voters);
         voters.map(|id| id.vm).collect()
     }
 
-    /// Has a command committed; its index.
+    /// Commits a command and returns its index.
     fn commit(&mut self) -> LogIndex {
         let leader = self.leader().expect("a leader").id().vm.clone();
         let command = Bytes::from_static(b"x");
         self.step(&leader, ReplicaInput::Propose { command, id: 1 });
-        let index = self.replicas[&leader].status().last.index;
+        let index = self.replicas[&leader].status().last_position.index;
         self.run(Duration::from_secs(1));
-        assert!(self.leader().expect("a leader").status().commit >= index);
+        assert!(self.leader().expect("a leader").status().commit_index >= index);
         index
     }
 
@@ -143,16 +144,16 @@
     vms.iter().map(|vm| Box::from(*vm)).collect()
 }
 
-/// Five VMs start together and are told the addresses of three. These found one group, and the other
-/// two are taken in without being named.
+/// Five VMs start together and know the addresses of only three. These three found one group, and
+/// it admits the other two although no settings name them.
 #[test]
 fn vms_that_no_settings_name_are_taken_in() {
     let mut net = Net::founded();
     net.commit();
 }
 
-/// All VMs that could found a group have lost their disks, and others hold the log out of reach. A
-/// second group would forget what was accepted, so nobody founds one.
+/// All VMs that may found a group have lost their disks, and the VMs that hold the log are
+/// unreachable. A second group would lack the accepted changes, so no VM may found one.
 #[test]
 fn vms_that_lost_their_disks_found_no_second_group() {
     let mut net = Net::new();
@@ -164,12 +165,13 @@
     assert!(
         net.replicas
             .values()
-            .all(|replica| replica.status().commit == 0)
+            .all(|replica| replica.status().commit_index == 0)
     );
 }
 
-/// Two of five lose their disks right after a change was accepted, and come back empty. The other
-/// three hold it; the group is whole again and bears the loss of two others.
+/// Two of five VMs lose their disks right after a change was accepted, and return empty. The other
+/// three hold the change. The group must become whole again and then survive the loss of two
+/// others.
 #[test]
 fn two_lost_disks_at_once_lose_nothing() {
     let mut net = Net::founded();
@@ -185,11 +187,11 @@
     }
     net.run(Duration::from_secs(8));
     let leader = net.leader().expect("a leader");
-    assert!(leader.status().commit >= index);
+    assert!(leader.status().commit_index >= index);
 }
 
-/// A VM is gone for good and a new one comes at another address. It takes the lost voter's place, so
-/// that the group again bears the loss of two.
+/// A VM is lost for good, and a new one starts at another address. It must replace the lost voter,
+/// so that the group can again survive the loss of two.
 #[test]
 fn a_new_vm_takes_the_place_of_a_lost_one() {
     let mut net = Net::founded();
@@ -200,7 +202,8 @@
     net.commit();
 }
 
-/// While no voter is lost, a sixth VM stays a learner: one voter more bears no loss more.
+/// While no voter is lost, a sixth VM must stay a learner: one more voter would not let the group
+/// survive one more loss.
 #[test]
 fn a_vm_beyond_the_aim_stays_a_learner() {
     let mut net = Net::founded();
@@ -211,8 +214,9 @@
     assert!(members.learners.iter().any(|id| &*id.vm == "f"));
 }
 
-/// A voter is cut off for long, and its place is taken. When the cut heals it does not know that it
-/// was taken out. It is taken in again and follows, instead of asking for votes for ever.
+/// A voter is partitioned off for so long that it is replaced. When the partition heals, it doesn't
+/// know that it was removed. It must be admitted again and follow, instead of asking for votes for
+/// ever.
 #[test]
 fn a_voter_that_was_taken_out_behind_a_cut_comes_back() {
     let mut net = Net::founded();
@@ -223,7 +227,7 @@
     net.down.remove("d");
     let index = net.commit();
     net.run(Duration::from_secs(10));
-    assert!(net.replicas["d"].status().commit >= index);
+    assert!(net.replicas["d"].status().commit_index >= index);
     let members = net.leader().expect("a leader").status().members;
     assert!(members.iter().any(|id| &*id.vm == "d"));
 }
--- a/crates/ebonystand-core/tests/order_journal.rs
+++ b/crates/ebonystand-core/tests/order_journal.rs
@@ -3,12 +3,12 @@
 use {
     ebonystand_core::{
         BodyHash, OrderAction, OrderAnswer, OrderCommand, OrderDispatch, OrderHolder, OrderId,
-        OrderJournal, OrderKeyFault, OrderLimits,
+        OrderJournal, OrderKeyError, OrderLimits,
         OrderOutcome::{
             self, Abandoned, AlreadyGranted, AnswerDropped, Conflict, Expired, Full, Granted,
             KeyFault, Stale, Stored, Unknown,
         },
-        OrderRequest, OrderStale, Refusal, RefusalCode, Region, Workspace, order_region,
+        OrderRequest, OrderStaleReason, Refusal, RefusalCode, Region, Workspace, order_region,
     },
     rstest::rstest,
     std::time::Duration,
@@ -27,7 +27,7 @@
 }
 
 fn hash(body: u8) -> BodyHash {
-    BodyHash::of("POST", "/orders", &[body])
+    BodyHash::from_request("POST", "/orders", &[body])
 }
 
 fn holder(vm: &str, incarnation: u64, attempt: u64) -> OrderHolder {
@@ -40,8 +40,8 @@
 
 fn dispatch(key: &str, attempt: u64) -> Result<OrderDispatch, Refusal> {
     let req = OrderRequest {
-        at: NOW,
-        body: hash(1),
+        received_at: NOW,
+        body_hash: hash(1),
         dispatch_by: Duration::from_secs(1),
         id: id(key),
         reply_by: Duration::from_secs(2),
@@ -120,7 +120,7 @@
     journal.abandon(A, &a, 1);
     journal.grant(A, &b, 1);
     assert_eq!(journal.abandon(A, &a, 1), AlreadyGranted);
-    assert_eq!(journal.answer(A, &a, 1), Stale(OrderStale::Holder));
+    assert_eq!(journal.answer(A, &a, 1), Stale(OrderStaleReason::Holder));
     assert_eq!(journal.grant(A, &holder("c", 1, 1), 1), AlreadyGranted);
 }
 
@@ -130,7 +130,7 @@
 fn a_grant_behind_its_abandonment_is_stale() {
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
     assert_eq!(journal.abandon(A, &vm, 1), Abandoned);
-    assert_eq!(journal.grant(A, &vm, 1), Stale(OrderStale::Abandoned));
+    assert_eq!(journal.grant(A, &vm, 1), Stale(OrderStaleReason::Abandoned));
     assert_eq!(journal.grant(A, &holder("a", 1, 2), 1), Granted);
 }
 
@@ -142,7 +142,10 @@
     journal.grant(OLD, &vm, 1);
     journal.answer(OLD, &vm, 1);
     journal.grant(A, &vm, 1);
-    let prune = journal.0.prune_due(NOW).expect("a record is old enough");
+    let prune = journal
+        .0
+        .prune_command(NOW)
+        .expect("a record is old enough");
     journal.0.apply(&prune);
     assert_eq!(journal.0.len(), 1);
     assert_eq!(journal.grant(OLD, &holder("b", 1, 1), 1), Expired);
@@ -158,7 +161,7 @@
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
     assert_eq!(journal.grant(key, &vm, 1), Granted);
     journal.grant(A, &vm, 1);
-    assert_eq!(journal.0.prune_due(NOW).is_some(), is_pruned);
+    assert_eq!(journal.0.prune_command(NOW).is_some(), is_pruned);
 }
 
 /// The clock of the VM that prunes jumps ten years ahead. Believed, it would expire each key that
@@ -206,7 +209,7 @@
 fn a_key_from_the_future_is_refused() {
     let key = format!("{}-a", NOW + 3_600);
     let outcome = Fixture::default().grant(&key, &holder("a", 1, 1), 1);
-    assert_eq!(outcome, KeyFault(OrderKeyFault::Early));
+    assert_eq!(outcome, KeyFault(OrderKeyError::Early));
     let refusal = dispatch(&key, 1).expect_err("a refusal");
     assert_eq!(refusal.code, RefusalCode::BadHeader);
 }
@@ -218,15 +221,19 @@
     let mut dispatches = [(A, 1), (B, 2)].map(|(key, n)| dispatch(key, n).expect("a key"));
     let mut unsent: Vec<_> = dispatches
         .iter_mut()
-        .flat_map(|dispatch| dispatch.outcome(Duration::ZERO, &Granted))
+        .flat_map(|dispatch| dispatch.handle_outcome(Duration::ZERO, &Granted))
         .filter_map(|action| match action {
-            OrderAction::Dispatch(permit) => Some(permit.give_back()),
+            OrderAction::Dispatch(permit) => Some(permit.return_unused()),
             _ => None,
         })
         .collect();
     let (mine, other) = (unsent.remove(0), unsent.remove(0));
-    assert!(dispatches[0].unsent(Duration::ZERO, other).is_empty());
-    assert_eq!(dispatches[0].unsent(Duration::ZERO, mine).len(), 1);
+    assert!(
+        dispatches[0]
+            .record_unsent(Duration::ZERO, other)
+            .is_empty()
+    );
+    assert_eq!(dispatches[0].record_unsent(Duration::ZERO, mine).len(), 1);
 }
 
 /// The first upstream takes no connection until the order's time is over. Sent to the next one, the
@@ -234,15 +241,15 @@
 #[test]
 fn an_order_turns_to_no_other_upstream_past_its_time() {
     let mut order = dispatch(A, 1).expect("a key");
-    let mut actions = order.outcome(Duration::ZERO, &Granted);
+    let mut actions = order.handle_outcome(Duration::ZERO, &Granted);
     let Some(OrderAction::Dispatch(permit)) = actions.pop() else {
         panic!("no permit");
     };
     let sending = permit.redeem(Duration::ZERO).expect("in time");
-    let sending = sending.turn_to_another(Duration::ZERO).expect("in time");
-    let late = sending.turn_to_another(Duration::from_secs(1));
+    let sending = sending.switch_upstream(Duration::ZERO).expect("in time");
+    let late = sending.switch_upstream(Duration::from_secs(1));
     let unsent = late.expect_err("too late");
-    assert_eq!(order.unsent(Duration::from_secs(1), unsent).len(), 1);
+    assert_eq!(order.record_unsent(Duration::from_secs(1), unsent).len(), 1);
 }
 
 /// A key must come to the same journal in every region, or two journals would each grant it. A
@@ -250,13 +257,13 @@
 #[rstest]
 #[case::home("1796253227-a", Ok("utara"))]
 #[case::named("tengah/1796253227-a", Ok("tengah"))]
-#[case::outside("selatan/1796253227-a", Err(OrderKeyFault::Residency { region: "selatan".into() }))]
-#[case::no_region("x/1796253227-a", Err(OrderKeyFault::Region { region: "x".into() }))]
-#[case::no_time("a", Err(OrderKeyFault::Form))]
-#[case::short_time("179625322-a", Err(OrderKeyFault::Form))]
-#[case::no_name("1796253227-", Err(OrderKeyFault::Form))]
-#[case::two_regions("tengah/utara/1796253227-a", Err(OrderKeyFault::Form))]
-fn an_order_belongs_to_one_region(#[case] key: &str, #[case] want: Result<&str, OrderKeyFault>) {
+#[case::outside("selatan/1796253227-a", Err(OrderKeyError::Residency { region: "selatan".into() }))]
+#[case::no_region("x/1796253227-a", Err(OrderKeyError::Region { region: "x".into() }))]
+#[case::no_time("a", Err(OrderKeyError::Form))]
+#[case::short_time("179625322-a", Err(OrderKeyError::Form))]
+#[case::no_name("1796253227-", Err(OrderKeyError::Form))]
+#[case::two_regions("tengah/utara/1796253227-a", Err(OrderKeyError::Form))]
+fn an_order_belongs_to_one_region(#[case] key: &str, #[case] want: Result<&str, OrderKeyError>) {
     let regions = ["utara", "tengah", "selatan"].map(|region| (region.into(), Region::default()));
     let workspace = Workspace {
         burst: 1,
@@ -276,7 +283,7 @@
     journal.grant(A, &holder("a", 1, 1), 1);
     journal.grant(B, &holder("b", 1, 1), 1);
     journal.grant("1796253227-c", &holder("a", 2, 1), 1);
-    let orphans: Vec<_> = journal.0.orphans("a", 2).collect();
+    let orphans: Vec<_> = journal.0.orphan_commands("a", 2).collect();
     assert_eq!(orphans.len(), 1);
     assert_eq!(journal.0.apply(&orphans[0]), Unknown);
     assert_eq!(journal.grant(A, &holder("b", 1, 2), 1), Unknown);
--- a/crates/ebonystand-core/tests/order_matrix.rs
+++ b/crates/ebonystand-core/tests/order_matrix.rs
@@ -6,9 +6,9 @@
 
 use {
     ebonystand_core::{
-        BodyHash, OrderAction, OrderAnswer, OrderCommand, OrderDispatch, OrderHolders, OrderId,
-        OrderJournal, OrderLimits, OrderOutcome, OrderReply, OrderRequest, Permit, RefusalCode,
-        RunState, Sending,
+        BodyHash, InFlightOrder, OrderAction, OrderAnswer, OrderCommand, OrderDispatch,
+        OrderHolderSource, OrderId, OrderJournal, OrderLimits, OrderOutcome, OrderPermit,
+        OrderReply, OrderRequest, RefusalCode, RunState,
     },
     rand::{Rng, RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -77,9 +77,9 @@
     dispatch: Option<OrderDispatch>,
     dispatch_by: Duration,
     id: OrderId,
-    permit: Option<Permit>,
+    permit: Option<OrderPermit>,
     replies: Vec<OrderReply>,
-    sending: Option<Sending>,
+    sending: Option<InFlightOrder>,
     vm: usize,
 }
 
@@ -87,7 +87,7 @@
 struct Vm {
     down_until: Duration,
     frozen_until: Duration,
-    holders: OrderHolders,
+    holders: OrderHolderSource,
 }
 
 impl Vm {
@@ -95,7 +95,7 @@
         Self {
             down_until,
             frozen_until: Duration::ZERO,
-            holders: OrderHolders::new(name.into(), incarnation),
+            holders: OrderHolderSource::new(name.into(), incarnation),
         }
     }
 }
@@ -247,7 +247,7 @@
             Event::Command(i, command) => self.apply(i, &command),
             Event::Heard(i, answer) => self.heard(i, answer),
             Event::Outcome(i, outcome) => {
-                self.drive(i, |dispatch, now| dispatch.outcome(now, &outcome));
+                self.drive(i, |dispatch, now| dispatch.handle_outcome(now, &outcome));
             }
             Event::Prune => {
                 let floor = MINTED + 1;
@@ -283,7 +283,7 @@
             return;
         };
         let actions = call(dispatch, now);
-        if let Some(wake) = dispatch.wake().filter(|wake| *wake < HORIZON) {
+        if let Some(wake) = dispatch.next_poll().filter(|wake| *wake < HORIZON) {
             self.after(wake.saturating_sub(now), Event::Wake(i));
         }
         for action in actions {
@@ -317,13 +317,13 @@
         let req = &mut self.requests[i];
         req.dispatch_by = self.now + Duration::from_secs(2);
         let order = OrderRequest {
-            at: MINTED,
-            body: BodyHash::of("POST", "/orders", &[req.body]),
+            received_at: MINTED,
+            body_hash: BodyHash::from_request("POST", "/orders", &[req.body]),
             dispatch_by: req.dispatch_by,
             id: req.id.clone(),
             reply_by: self.now + Duration::from_secs(5),
         };
-        let holder = self.vms[req.vm].holders.draw();
+        let holder = self.vms[req.vm].holders.next_holder();
         let dispatch = OrderDispatch::new(order, holder, &OrderLimits::default());
         req.dispatch = Some(dispatch.expect("the key is well formed"));
         self.drive(i, OrderDispatch::poll);
@@ -335,12 +335,14 @@
             return;
         };
         if self.rng.random_bool(0.3) {
-            let unsent = permit.give_back();
-            return self.drive(i, |dispatch, now| dispatch.unsent(now, unsent));
+            let unsent = permit.return_unused();
+            return self.drive(i, |dispatch, now| dispatch.record_unsent(now, unsent));
         }
         let sending = match permit.redeem(self.now) {
             Ok(sending) => sending,
-            Err(unsent) => return self.drive(i, |dispatch, now| dispatch.unsent(now, unsent)),
+            Err(unsent) => {
+                return self.drive(i, |dispatch, now| dispatch.record_unsent(now, unsent));
+            }
         };
         self.requests[i].sending = Some(sending);
         let (id, body) = (self.requests[i].id.clone(), self.requests[i].body);
@@ -367,9 +369,11 @@
             return;
         };
         if self.rng.random_bool(0.2) {
-            return self.drive(i, |dispatch, now| dispatch.unanswered(now, sending));
+            return self.drive(i, |dispatch, now| dispatch.record_no_answer(now, sending));
         }
-        self.drive(i, |dispatch, now| dispatch.answered(now, sending, answer));
+        self.drive(i, |dispatch, now| {
+            dispatch.record_answer(now, sending, answer)
+        });
     }
 
     /// The first broken promise.
--- a/crates/ebonystand-core/tests/replica_matrix/cell.rs
+++ b/crates/ebonystand-core/tests/replica_matrix/cell.rs
@@ -1,12 +1,13 @@
-//! One cell of the table: a step of the protocol, a fault, and perhaps a second one.
+//! One cell of the test matrix: a step of the protocol, a fault, and optionally a second fault.
 
 use {
-    super::net::{Net, Weather},
+    super::net::{LinkFaults, Net},
     ebonystand_core::{DurableState, MemberChange, MemberId, ReplicaInput, ReplicaRole, VmId},
     rand::{RngExt, seq::IndexedRandom},
     std::time::Duration,
 };
 
+/// Fault that is injected into a VM or the network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     Duplicate,
@@ -21,6 +22,7 @@
     TwoWayCut,
 }
 
+/// Step of the protocol during which the fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
     Append,
@@ -30,6 +32,7 @@
     Snapshot,
 }
 
+/// VM that the fault hits: the leader, the VM that the step is about, or another one.
 #[derive(Clone, Copy, Debug)]
 pub enum Victim {
     Bystander,
@@ -37,6 +40,7 @@
     Subject,
 }
 
+/// Cell of the matrix.
 #[derive(Clone, Copy, Debug)]
 pub struct Cell {
     pub first: Fault,
@@ -60,17 +64,17 @@
         Self::TwoWayCut,
     ];
 
-    fn strike(self, net: &mut Net, vm: &VmId) {
+    fn inject(self, net: &mut Net, vm: &VmId) {
         match self {
-            Self::Duplicate => net.weather.duplicated = 500,
+            Self::Duplicate => net.link_faults.duplicated = 500,
             Self::Freeze => net.node(vm).frozen = true,
             Self::Kill => net.kill(vm, 0),
-            Self::Late => net.weather.late = 200,
-            Self::Loss => net.weather.lost = 300,
+            Self::Late => net.link_faults.late = 200,
+            Self::Loss => net.link_faults.lost = 300,
             Self::LostDisk => {
                 net.kill(vm, 0);
                 let incarnation = net.rng.random();
-                net.node(vm).disk = DurableState::blank(incarnation);
+                net.node(vm).disk = DurableState::empty(incarnation);
                 net.start(vm);
             }
             Self::OneWayCut => {
@@ -79,9 +83,9 @@
                 let other = others.choose(&mut net.rng).expect("not alone").clone();
                 let link = (vm.clone(), other);
                 let back = (link.1.clone(), link.0.clone());
-                net.cuts.insert(if out { link } else { back });
+                net.cut_links.insert(if out { link } else { back });
             }
-            Self::Reorder => net.weather.reordered = 500,
+            Self::Reorder => net.link_faults.reordered = 500,
             Self::TornWrite => {
                 let torn = net.rng.random_range(0..4);
                 net.kill(vm, torn);
@@ -89,8 +93,8 @@
             }
             Self::TwoWayCut => {
                 for other in net.others(vm) {
-                    net.cuts.insert((vm.clone(), other.clone()));
-                    net.cuts.insert((other, vm.clone()));
+                    net.cut_links.insert((vm.clone(), other.clone()));
+                    net.cut_links.insert((other, vm.clone()));
                 }
             }
         }
@@ -106,7 +110,7 @@
         Self::Snapshot,
     ];
 
-    /// Brings the net to where the step starts; returns the VM that the step is about.
+    /// Brings the net to the start of the step. Returns the VM that the step is about.
     fn begin(self, net: &mut Net) -> VmId {
         let leader = net.leader().expect("settled");
         let follower = net.others(&leader)[0].clone();
@@ -131,8 +135,8 @@
         }
     }
 
-    /// What the net notes when the step is under way.
-    fn mark(self) -> &'static str {
+    /// Returns the event that the net records while the step is in progress.
+    fn event_name(self) -> &'static str {
         match self {
             Self::Append => "append",
             Self::CatchUp => "chunk",
@@ -165,53 +169,56 @@
 }
 
 impl Cell {
-    /// Runs the cell; panics where an invariant breaks.
+    /// Runs the cell; panics if an invariant is violated.
     pub fn run(&self) {
         let mut net = Net::new(&["a", "b", "c"], self.seed);
         let limit = Duration::from_secs(30);
-        assert!(net.run(limit, 5, |net| net.observer.acks() > 20));
+        assert!(net.run(limit, 5, |net| net.observer.acknowledged_count() > 20));
         let subject = self.step.begin(&mut net);
-        net.seen.clear();
-        let mark = self.step.mark();
-        assert!(net.run(limit, 5, |net| net.seen.contains(mark)));
+        net.events_seen.clear();
+        let event_name = self.step.event_name();
+        assert!(net.run(limit, 5, |net| net.events_seen.contains(event_name)));
         let victim = self.victim.choose(&net, &subject);
-        self.first.strike(&mut net, &victim);
+        self.first.inject(&mut net, &victim);
         if let Some(second) = self.second {
-            self.strike_again(&mut net, second, &subject);
+            self.inject_second_fault(&mut net, second, &subject);
         }
         net.run(Duration::from_secs(3), 5, |_| false);
         Self::recover(&mut net);
     }
 
-    /// Everything that is down comes back; then all VMs are voters with the same state.
+    /// Ends all faults and restarts all VMs, then waits until all of them are voters with equal
+    /// state.
     fn recover(net: &mut Net) {
-        net.cuts.clear();
-        net.weather = Weather::default();
+        net.cut_links.clear();
+        net.link_faults = LinkFaults::default();
         for vm in net.nodes.keys().cloned().collect::<Vec<_>>() {
             net.node(&vm).frozen = false;
             if net.node(&vm).replica.is_none() {
                 net.start(&vm);
             }
         }
-        let acks = net.observer.acks();
+        let acknowledged = net.observer.acknowledged_count();
         let limit = Duration::from_secs(20);
         assert!(
-            net.run(limit, 10, |net| net.observer.acks() > acks + 5),
+            net.run(limit, 10, |net| net.observer.acknowledged_count()
+                > acknowledged + 5),
             "commits nothing after the recovery"
         );
         for _ in 0..40 {
             net.admit_newcomer();
-            if net.run(Duration::from_secs(1), u32::MAX, Net::is_whole) {
-                net.check_states();
+            if net.run(Duration::from_secs(1), u32::MAX, Net::has_converged) {
+                net.assert_states();
                 return;
             }
         }
         panic!("does not become whole after the recovery");
     }
 
-    /// The second fault comes while the first is being recovered from. A second disk is lost right
-    /// after the repair of the first: with two of three disks gone at once there is no majority.
-    fn strike_again(&self, net: &mut Net, second: Fault, subject: &VmId) {
+    /// Injects the second fault while the group recovers from the first one. A second disk is lost
+    /// only after recovery from the loss of the first: without two of three disks there is no
+    /// majority.
+    fn inject_second_fault(&self, net: &mut Net, second: Fault, subject: &VmId) {
         if self.first == Fault::LostDisk && second == Fault::LostDisk {
             Self::recover(net);
         } else {
@@ -220,12 +227,13 @@
         }
         let victim = *Victim::ALL.choose(&mut net.rng).expect("not empty");
         let victim = victim.choose(net, subject);
-        second.strike(net, &victim);
+        second.inject(net, &victim);
     }
 }
 
 impl Net {
-    /// Asks the leader to take in the fourth VM, if there is one and it is not a member.
+    /// Asks the leader to admit the fourth VM if it exists; the change fails if it is a member
+    /// already.
     fn admit_newcomer(&mut self) {
         let vm = VmId::from("d");
         let (Some(node), Some(leader)) = (self.nodes.get(&vm), self.leader()) else {
--- a/crates/ebonystand-core/tests/replica_matrix/main.rs
+++ b/crates/ebonystand-core/tests/replica_matrix/main.rs
@@ -1,6 +1,6 @@
-//! Every fault at every step of the replicated log, and every pair of faults.
+//! Fault matrix of the replicated log: every fault, and every pair of faults, at every step.
 //!
-//! `REPLICA_CELL=n` runs cell `n` of the tables alone, as a failing cell prints it.
+//! `REPLICA_CELL=n` runs only cell `n` of each table; a failing cell prints its number.
 
 mod cell;
 mod net;
@@ -12,6 +12,7 @@
     std::{panic::catch_unwind, thread},
 };
 
+/// Builds the table of all first faults, steps and victims for each of the second faults.
 fn cells(seconds: &[Option<Fault>]) -> Vec<Cell> {
     let mut cells = Vec::new();
     for first in Fault::ALL {
@@ -32,7 +33,7 @@
     cells
 }
 
-/// Runs a table, a thread for each first fault, and names every cell that fails.
+/// Runs a table with one thread for each first fault, and prints every cell that fails.
 fn run_table(name: &str, cells: &[Cell]) {
     let only: Option<u64> = std::env::var("REPLICA_CELL")
         .ok()
@@ -57,6 +58,7 @@
     assert!(failed.is_empty());
 }
 
+/// Runs the cells of a row and returns those that fail.
 fn failing(row: &[Cell], only: Option<u64>) -> Vec<Cell> {
     row.iter()
         .filter(|cell| only.is_none_or(|seed| seed == cell.seed))
@@ -65,16 +67,16 @@
         .collect()
 }
 
-/// A caller sees its commands acknowledged while one thing breaks at one step. Whatever breaks, no
-/// acknowledged command is lost, no index is committed twice with different entries, no term has
-/// two leaders, no lease runs beside another leader, and the group works again after.
+/// One fault occurs at one step while a caller's commands are being acknowledged. No acknowledged
+/// command may be lost, no index committed with two different entries, no term may have two
+/// leaders, no lease may run beside another leader, and the group must work again afterwards.
 #[test]
 fn every_fault_at_every_step() {
     run_table("every_fault_at_every_step", &cells(&[None]));
 }
 
-/// The same with a second fault while the first is being recovered from. A second lost disk comes
-/// right after the repair of the first.
+/// The same with a second fault while the group recovers from the first one. A second disk is lost
+/// only after recovery from the loss of the first.
 #[test]
 fn every_pair_of_faults_at_every_step() {
     let seconds = Fault::ALL.map(Some);
--- a/crates/ebonystand-core/tests/replica_matrix/net.rs
+++ b/crates/ebonystand-core/tests/replica_matrix/net.rs
@@ -1,4 +1,4 @@
-//! A few replicas with disks and links in memory, under one seed.
+//! Deterministic simulation of a few replicas with in-memory disks and links, driven by one seed.
 
 use {
     super::{
@@ -20,16 +20,16 @@
 /// Simulated time between two steps.
 const TICK: Duration = Duration::from_millis(5);
 
-struct Flight {
+struct InFlightMessage {
     at: Duration,
     from: MemberId,
     message: ReplicaMessage,
     to: VmId,
 }
 
-/// Faults of the links, in thousandths of the messages.
+/// Probabilities of link faults, in permille of the messages.
 #[derive(Default)]
-pub struct Weather {
+pub struct LinkFaults {
     pub duplicated: u32,
     pub late: u32,
     pub lost: u32,
@@ -37,34 +37,36 @@
 }
 
 pub struct Net {
-    pub cuts: BTreeSet<(VmId, VmId)>,
-    flights: Vec<Flight>,
+    /// Pairs of sender and receiver whose messages are dropped.
+    pub cut_links: BTreeSet<(VmId, VmId)>,
+    in_flight: Vec<InFlightMessage>,
     members: BTreeSet<VmId>,
     next_id: u64,
     pub nodes: BTreeMap<VmId, Node>,
     pub now: Duration,
     pub observer: Observer,
-    open: BTreeMap<(VmId, ProposalId), Vec<u8>>,
+    /// Commands that wait for their result, by VM and proposal.
+    open_proposals: BTreeMap<(VmId, ProposalId), Vec<u8>>,
     pub rng: Pcg64Mcg,
-    /// A step of the protocol that was seen since the last look.
-    pub seen: BTreeSet<&'static str>,
-    pub weather: Weather,
+    /// Protocol events seen since a cell last cleared the set.
+    pub events_seen: BTreeSet<&'static str>,
+    pub link_faults: LinkFaults,
 }
 
 impl Net {
     pub fn new(vms: &[&str], seed: u64) -> Self {
         let mut net = Self {
-            cuts: BTreeSet::new(),
-            flights: Vec::new(),
+            cut_links: BTreeSet::new(),
+            in_flight: Vec::new(),
             members: vms.iter().map(|vm| VmId::from(*vm)).collect(),
             next_id: 0,
             nodes: BTreeMap::new(),
             now: Duration::ZERO,
             observer: Observer::default(),
-            open: BTreeMap::new(),
+            open_proposals: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            seen: BTreeSet::new(),
-            weather: Weather::default(),
+            events_seen: BTreeSet::new(),
+            link_faults: LinkFaults::default(),
         };
         vms.iter().for_each(|vm| net.add(&VmId::from(*vm)));
         net
@@ -74,18 +76,19 @@
     pub fn add(&mut self, vm: &VmId) {
         let node = Node {
             applied: 0,
-            disk: DurableState::blank(self.rng.random()),
+            disk: DurableState::empty(self.rng.random()),
             frozen: false,
             replica: None,
             state: Vec::new(),
-            rate: self.rng.random_range(970..=1_030),
-            writing: Vec::new(),
+            clock_permille: self.rng.random_range(970..=1_030),
+            unsynced: Vec::new(),
         };
         self.nodes.insert(vm.clone(), node);
         self.start(vm);
     }
 
-    /// The leader of the newest term that has a majority's ear.
+    /// Returns the leader of the newest term among the running replicas, whether or not a majority
+    /// still follows it.
     pub fn leader(&self) -> Option<VmId> {
         self.nodes
             .iter()
@@ -99,19 +102,19 @@
         self.nodes.get_mut(vm).expect("a VM of the net")
     }
 
-    /// Stops a process; of what was not synced a prefix of `torn` records stays.
+    /// Stops a process. The first `torn` unsynced records survive on disk.
     pub fn kill(&mut self, vm: &VmId, torn: usize) {
         let Some(node) = self.nodes.get_mut(vm) else {
             return;
         };
         node.replica = None;
         node.frozen = false;
-        let writing = std::mem::take(&mut node.writing);
-        let records = writing.into_iter().flat_map(|batch| batch.records);
+        let unsynced = std::mem::take(&mut node.unsynced);
+        let records = unsynced.into_iter().flat_map(|batch| batch.records);
         records
             .take(torn)
             .for_each(|record| node.disk.apply(record));
-        self.open.retain(|(from, _), _| from != vm);
+        self.open_proposals.retain(|(from, _), _| from != vm);
     }
 
     pub fn start(&mut self, vm: &VmId) {
@@ -133,11 +136,11 @@
         node.replica = Some(Replica::new(cfg, node.disk.clone(), node.clock(now), seed));
     }
 
-    /// Asks every replica that takes itself for the leader for a read barrier.
-    fn read(&mut self) {
+    /// Requests a read barrier from every replica that considers itself the leader.
+    fn request_reads(&mut self) {
         self.next_id += 1;
         let id = self.next_id;
-        self.observer.asks(id);
+        self.observer.record_read_request(id);
         for vm in self.nodes.keys().cloned().collect::<Vec<_>>() {
             let leads = self.nodes[&vm]
                 .replica
@@ -149,21 +152,23 @@
         }
     }
 
-    /// Hands a command to whoever leads.
+    /// Proposes a command to the leader.
     pub fn propose(&mut self) {
         let Some(vm) = self.leader() else {
             return;
         };
         self.next_id += 1;
         let id = self.next_id;
-        // Long enough that a snapshot takes several chunks.
+        // Large enough that a snapshot takes several chunks.
         let command = format!("{id:1000}").into_bytes();
-        self.open.insert((vm.clone(), id), command.clone());
+        self.open_proposals
+            .insert((vm.clone(), id), command.clone());
         let command = command.into();
         self.input(&vm, ReplicaInput::Propose { command, id });
     }
 
-    /// Lets time pass; a command is proposed every `every` ticks.
+    /// Advances time until `until` holds, for at most `time`; returns whether it held. Proposes a
+    /// command every `every` ticks.
     pub fn run(
         &mut self,
         time: Duration,
@@ -176,7 +181,7 @@
             tick += 1;
             if tick % every == 0 {
                 self.propose();
-                self.read();
+                self.request_reads();
             }
             self.tick();
             if until(self) {
@@ -186,8 +191,8 @@
         false
     }
 
-    /// Whether all VMs run, are voters, and have applied the same commands.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether all VMs run, are voters and have applied the whole log.
+    pub fn has_converged(&self) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
@@ -198,14 +203,15 @@
         status.members.voters == ids
             && status.members.learners.is_empty()
             && self.nodes.values().all(|node| {
-                node.applied == status.last.index && node.replica.is_some() && !node.frozen
+                node.applied == status.last_position.index && node.replica.is_some() && !node.frozen
             })
     }
 
-    pub fn check_states(&self) {
+    /// Asserts that every state contains all acknowledged commands.
+    pub fn assert_states(&self) {
         for (vm, node) in &self.nodes {
             self.observer
-                .holds_all(&node.id(vm), node.applied, &node.state);
+                .assert_holds_acknowledged(&node.id(vm), node.applied, &node.state);
         }
     }
 
@@ -213,14 +219,14 @@
         self.inputs(vm, vec![input]);
     }
 
-    /// What has come for a VM goes in together; what comes for a stopped one waits.
+    /// Delivers due messages: those for one VM go into one step, and those for a frozen VM wait.
     fn deliver(&mut self) {
-        let (due, rest): (Vec<_>, _) = std::mem::take(&mut self.flights)
+        let (due, rest): (Vec<_>, _) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|flight| flight.at <= self.now && !self.nodes[&flight.to].frozen);
-        self.flights = rest;
+            .partition(|message| message.at <= self.now && !self.nodes[&message.to].frozen);
+        self.in_flight = rest;
         let mut inputs: BTreeMap<_, Vec<_>> = BTreeMap::new();
-        for Flight {
+        for InFlightMessage {
             from, message, to, ..
         } in due
         {
@@ -244,10 +250,10 @@
         };
         outputs
             .into_iter()
-            .for_each(|output| self.output(vm, output));
+            .for_each(|output| self.handle_output(vm, output));
     }
 
-    fn output(&mut self, vm: &VmId, output: ReplicaOutput) {
+    fn handle_output(&mut self, vm: &VmId, output: ReplicaOutput) {
         let now = self.now;
         let sync = Duration::from_millis(self.rng.random_range(1..60));
         let Some(node) = self.nodes.get_mut(vm) else {
@@ -256,7 +262,7 @@
         let id = node.id(vm);
         match output {
             ReplicaOutput::Commit { entry } => {
-                self.observer.committed(&id, &entry);
+                self.observer.record_commit(&id, &entry);
                 node.applied = entry.position.index;
                 if let LogPayload::Command(command) = &entry.payload {
                     node.state.push((node.applied, command.to_vec()));
@@ -265,67 +271,69 @@
             ReplicaOutput::InstallSnapshot { snapshot } => {
                 node.applied = snapshot.position.index;
                 node.state = postcard::from_bytes(&snapshot.state).unwrap_or_default();
-                self.observer.installed(&id, node.applied);
-                self.observer.holds_all(&id, node.applied, &node.state);
+                self.observer.record_installed(&id, node.applied);
+                self.observer
+                    .assert_holds_acknowledged(&id, node.applied, &node.state);
             }
-            ReplicaOutput::Persist { records, token } => node.writing.push(Batch {
+            ReplicaOutput::Persist { records, token } => node.unsynced.push(Batch {
                 records,
                 synced_at: now + sync,
                 token,
             }),
-            ReplicaOutput::Proposed { id, result } => {
-                let command = self.open.remove(&(vm.clone(), id));
+            ReplicaOutput::ProposalDone { id, result } => {
+                let command = self.open_proposals.remove(&(vm.clone(), id));
                 if let (Ok(index), Some(command)) = (result, command) {
-                    self.observer.acked(index, &command);
+                    self.observer.record_acknowledged(index, &command);
                 }
             }
-            ReplicaOutput::Readable { id: read, result } => {
+            ReplicaOutput::ReadBarrierDone { id: read, result } => {
                 if let Ok(index) = result {
                     assert!(node.applied >= index);
-                    self.observer.read(&id, read, index);
+                    self.observer.record_read(&id, read, index);
                 }
             }
-            ReplicaOutput::Role { role, .. } => {
+            ReplicaOutput::RoleChanged { role, .. } => {
                 if matches!(role, ReplicaRole::Candidate | ReplicaRole::PreCandidate) {
-                    self.seen.insert("candidate");
+                    self.events_seen.insert("candidate");
                 }
             }
-            ReplicaOutput::Send { message, to } => self.fly(&id, &to, &message),
+            ReplicaOutput::Send { message, to } => self.send(&id, &to, &message),
             ReplicaOutput::TakeSnapshot { index } => {
-                self.seen.insert("snapshot");
+                self.events_seen.insert("snapshot");
                 let state = postcard::to_stdvec(&node.state).expect("a vector").into();
                 self.input(vm, ReplicaInput::SnapshotTaken { index, state });
             }
         }
     }
 
-    fn fly(&mut self, from: &MemberId, to: &VmId, message: &ReplicaMessage) {
+    /// Puts a message on the network, subject to cut links and link faults.
+    fn send(&mut self, from: &MemberId, to: &VmId, message: &ReplicaMessage) {
         match &message.body {
             ReplicaMessageBody::Append { entries, .. } if !entries.is_empty() => {
-                self.seen.insert("append");
+                self.events_seen.insert("append");
                 if entries
                     .iter()
                     .any(|entry| matches!(entry.payload, LogPayload::Members(_)))
                 {
-                    self.seen.insert("members");
+                    self.events_seen.insert("members");
                 }
             }
             ReplicaMessageBody::SnapshotChunk { .. } => {
-                self.seen.insert("chunk");
+                self.events_seen.insert("chunk");
             }
             _ => {}
         }
-        let Weather {
+        let LinkFaults {
             duplicated,
             late,
             lost,
             reordered,
-        } = self.weather;
-        let mut strikes = |permille| self.rng.random_range(0..1_000) < permille;
-        if self.cuts.contains(&(from.vm.clone(), to.clone())) || strikes(lost) {
+        } = self.link_faults;
+        let mut happens = |permille| self.rng.random_range(0..1_000) < permille;
+        if self.cut_links.contains(&(from.vm.clone(), to.clone())) || happens(lost) {
             return;
         }
-        let copies = 1 + u32::from(strikes(duplicated));
+        let copies = 1 + u32::from(happens(duplicated));
         for _ in 0..copies {
             let mut millis = self.rng.random_range(8..12);
             if self.rng.random_range(0..1_000) < reordered {
@@ -334,7 +342,7 @@
             if self.rng.random_range(0..1_000) < late {
                 millis += self.rng.random_range(1_500..4_000);
             }
-            self.flights.push(Flight {
+            self.in_flight.push(InFlightMessage {
                 at: self.now + Duration::from_millis(millis),
                 from: from.clone(),
                 message: message.clone(),
@@ -343,14 +351,14 @@
         }
     }
 
-    fn sync(&mut self, vm: &VmId) {
+    fn sync_disk(&mut self, vm: &VmId) {
         let now = self.now;
         while let Some(node) = self.nodes.get_mut(vm) {
-            let due = node.writing.first().is_some_and(|b| b.synced_at <= now);
+            let due = node.unsynced.first().is_some_and(|b| b.synced_at <= now);
             if node.frozen || !due {
                 return;
             }
-            let batch = node.writing.remove(0);
+            let batch = node.unsynced.remove(0);
             batch
                 .records
                 .into_iter()
@@ -364,14 +372,14 @@
         self.now += TICK;
         self.deliver();
         for vm in self.nodes.keys().cloned().collect::<Vec<_>>() {
-            self.sync(&vm);
+            self.sync_disk(&vm);
             let node = &self.nodes[&vm];
             let due = node.clock(self.now);
             if node.replica.as_ref().is_some_and(|r| r.deadline() <= due) {
                 self.input(&vm, ReplicaInput::Tick);
             }
         }
-        let claims: Vec<_> = self
+        let leaders: Vec<_> = self
             .nodes
             .iter()
             .filter_map(|(vm, node)| {
@@ -381,6 +389,6 @@
                 (status.role == ReplicaRole::Leader).then(|| (node.id(vm), status.term, lease))
             })
             .collect();
-        self.observer.leaders(&claims);
+        self.observer.record_leaders(&leaders);
     }
 }
--- a/crates/ebonystand-core/tests/replica_matrix/node.rs
+++ b/crates/ebonystand-core/tests/replica_matrix/node.rs
@@ -1,33 +1,34 @@
-//! A VM of the net: its process, its disk and its clock.
+//! A simulated VM: its process, disk and clock.
 
 use {
     ebonystand_core::{DurableState, LogIndex, LogRecord, MemberId, PersistToken, Replica, VmId},
     std::time::Duration,
 };
 
-/// Records that are being written.
+/// Batch of records that is being written to disk.
 pub struct Batch {
     pub records: Vec<LogRecord>,
     pub synced_at: Duration,
     pub token: PersistToken,
 }
 
+/// A simulated VM.
 pub struct Node {
     pub applied: LogIndex,
     pub disk: DurableState,
     pub frozen: bool,
-    /// `None` while the process is down.
+    /// Replica; `None` while the process is down.
     pub replica: Option<Replica>,
-    /// Commands as the state machine holds them, with their indices.
+    /// Commands applied to the state machine, with their indices.
     pub state: Vec<(LogIndex, Vec<u8>)>,
-    /// How fast its clock runs, in thousandths.
-    pub rate: u32,
-    pub writing: Vec<Batch>,
+    /// Rate of the VM's clock, in permille of simulated time.
+    pub clock_permille: u32,
+    pub unsynced: Vec<Batch>,
 }
 
 impl Node {
     pub fn clock(&self, now: Duration) -> Duration {
-        now * self.rate / 1_000
+        now * self.clock_permille / 1_000
     }
 
     pub fn id(&self, vm: &VmId) -> MemberId {
--- a/crates/ebonystand-core/tests/replica_safeguards.rs
+++ b/crates/ebonystand-core/tests/replica_safeguards.rs
@@ -1,10 +1,10 @@
-//! Each safeguard of the replica by itself, on one replica that is fed by hand.
+//! Tests of each safeguard of the replica on a single replica that receives hand-written inputs.
 
 use {
     bytes::Bytes,
     ebonystand_core::{
         AppendOutcome, DurableState, HardState, LogEntry, LogPayload, LogPosition, LogSnapshot,
-        MemberChange, MemberId, Membership, ProposalFault, Replica, ReplicaConfig, ReplicaInput,
+        MemberChange, MemberId, Membership, ProposalError, Replica, ReplicaConfig, ReplicaInput,
         ReplicaMessage, ReplicaMessageBody as Body, ReplicaOutput, ReplicaRole, Term,
     },
     std::{collections::BTreeSet, time::Duration},
@@ -36,9 +36,9 @@
 }
 
 impl Fixture {
-    /// Replica `a` of a founded group of three, in term 1.
+    /// Returns replica `a` of a founded group of three, in term 1.
     fn new() -> Self {
-        let mut disk = DurableState::blank(1);
+        let mut disk = DurableState::empty(1);
         disk.hard_state.term = 1;
         disk.snapshot = Some(LogSnapshot {
             members: Membership {
@@ -53,17 +53,17 @@
         Self { disk, now, replica }
     }
 
-    /// The same as the leader of term 2, which has committed its first entry.
+    /// Returns replica `a` as the leader of term 2, which has committed its first entry.
     fn leader() -> Self {
         let mut fixture = Self::new();
         fixture.elect();
 
         fixture.matched("b", 2);
-        assert_eq!(fixture.replica.status().commit, 2);
+        assert_eq!(fixture.replica.status().commit_index, 2);
         fixture
     }
 
-    /// Becomes the leader of term 2 by the vote of `b`.
+    /// Makes the replica the leader of term 2 by the vote of `b`.
     fn elect(&mut self) {
         self.now = self.replica.deadline();
         self.step(ReplicaInput::Tick);
@@ -95,7 +95,7 @@
         self.hear(from, term, body)
     }
 
-    /// Takes an input and syncs at once.
+    /// Passes an input to the replica and syncs its records at once.
     fn step(&mut self, input: ReplicaInput) -> Vec<ReplicaOutput> {
         let mut outputs = self.replica.step(self.now, input);
         let mut at = 0;
@@ -110,7 +110,7 @@
         outputs
     }
 
-    /// Whether `b` or `c` gets the vote.
+    /// Returns whether the candidate gets the replica's vote.
     fn votes(&mut self, candidate: &str, term: Term) -> bool {
         let last = LogPosition { index: 9, term: 9 };
         let outputs = self.hear(candidate, term, Body::Vote { last, pre: false });
@@ -132,8 +132,8 @@
     }
 }
 
-/// A voter restarts in the middle of an election and is asked by the other candidate. If it had
-/// forgotten its vote, the term would have two leaders.
+/// A voter restarts in the middle of an election, and the other candidate asks for its vote. If it
+/// had forgotten its first vote, the term would have two leaders.
 #[test]
 fn a_vote_outlives_a_restart() {
     let mut fixture = Fixture::new();
@@ -145,8 +145,8 @@
     assert!(fixture.votes("b", 2));
 }
 
-/// A voter that heard a leader, or may have before it restarted, is asked for a vote. The lease of
-/// that leader may run, so it says nothing until the lease is certainly over.
+/// A candidate asks a voter that has heard a leader, or may have heard one before it restarted. The
+/// lease of that leader may still run, so the voter stays silent until the lease is over.
 #[test]
 fn a_voter_waits_out_the_lease_of_a_leader_that_it_heard_or_forgot() {
     let mut fixture = Fixture::new();
@@ -159,14 +159,14 @@
     assert!(fixture.votes("b", 2));
 }
 
-/// A leader was deposed while it was frozen; it thaws and sends what it had. The voter has another
-/// leader's entries by then and must keep them.
+/// A leader was deposed while it was frozen. When it resumes, it sends its old entries to a voter
+/// that holds entries of the next leader by then; the voter must keep those.
 #[test]
 fn entries_of_a_former_term_are_refused() {
     let mut fixture = Fixture::new();
     fixture.append("b", 3, vec![command(2, 3)]);
     let outputs = fixture.append("c", 2, vec![command(2, 2)]);
-    assert_eq!(fixture.replica.status().last.term, 3);
+    assert_eq!(fixture.replica.status().last_position.term, 3);
     assert!(sent(&outputs).all(|body| matches!(
         body,
         Body::AppendReply {
@@ -176,8 +176,8 @@
     )));
 }
 
-/// A crash comes before the disk has an entry that was answered: the leader counted it, the
-/// proposer was told, and it is gone.
+/// A replica answers before its disk has the entry and then crashes. The leader has counted the
+/// answer and acknowledged the command, and the entry is lost.
 #[test]
 fn nothing_is_answered_or_counted_before_it_is_synced() {
     let mut fixture = Fixture::new();
@@ -199,12 +199,12 @@
         .replica
         .step(fixture.now, ReplicaInput::Propose { command, id });
     fixture.matched("b", 3);
-    assert_eq!(fixture.replica.status().commit, 2);
+    assert_eq!(fixture.replica.status().commit_index, 2);
 }
 
-/// An entry of a former term is on a majority. A log that ends in a higher term could still win
-/// and overwrite it, so it is committed only with an entry of the own term. Until then members
-/// don't change either, since a former leader's change may be under way.
+/// An entry of a former term is on a majority. A leader whose log ends in a higher term could still
+/// overwrite it, so it may be committed only together with an entry of the current term. Until then
+/// the members must not change either, since a change by a former leader may be uncommitted.
 #[test]
 fn an_entry_of_a_former_term_is_not_committed_by_counting() {
     let mut fixture = Fixture::new();
@@ -212,24 +212,24 @@
     fixture.elect();
 
     fixture.matched("b", 2);
-    assert_eq!(fixture.replica.status().commit, 1);
+    assert_eq!(fixture.replica.status().commit_index, 1);
     let change = MemberChange::Admit(member("d"));
     fixture.step(ReplicaInput::ChangeMembers { change, id: 1 });
     assert_eq!(fixture.replica.status().members.learners.len(), 0);
     fixture.matched("b", 3);
-    assert_eq!(fixture.replica.status().commit, 3);
+    assert_eq!(fixture.replica.status().commit_index, 3);
 }
 
-/// Two changes under way could make majorities that do not meet; a learner that lacks entries
-/// would make the majority larger without holding them.
+/// Two uncommitted changes of members could allow two majorities without a common member. A learner
+/// that lacks entries would raise the size of a majority without holding them.
 #[test]
 fn members_change_one_at_a_time_and_learners_catch_up_first() {
     let mut fixture = Fixture::leader();
     let change = |change, id| ReplicaInput::ChangeMembers { change, id };
     fixture.step(change(MemberChange::Admit(member("d")), 1));
-    let refused = ReplicaOutput::Proposed {
+    let refused = ReplicaOutput::ProposalDone {
         id: 2,
-        result: Err(ProposalFault::ChangeRefused),
+        result: Err(ProposalError::ChangeRefused),
     };
     let outputs = fixture.step(change(MemberChange::Remove(member("c")), 2));
     assert!(outputs.contains(&refused));
@@ -242,8 +242,8 @@
     assert!(voters(&fixture).contains(&member("d")));
 }
 
-/// A leader is cut off. It must stop acting by itself before others may elect a successor, and
-/// tell its proposers that the outcome is not known.
+/// A leader is partitioned off. It must stop acting on its own before others may elect a successor,
+/// and must report to its proposers that the outcome is unknown.
 #[test]
 fn a_leader_that_nobody_answers_loses_its_lease_and_steps_down() {
     let mut fixture = Fixture::leader();
@@ -251,20 +251,20 @@
     fixture.step(ReplicaInput::Propose { command, id });
     assert!(fixture.replica.holds_lease(fixture.now + 899 * MILLI));
     assert!(!fixture.replica.holds_lease(fixture.now + 900 * MILLI));
-    let readable = ReplicaOutput::Readable { id, result: Ok(2) };
+    let readable = ReplicaOutput::ReadBarrierDone { id, result: Ok(2) };
     let read = ReplicaInput::ReadBarrier { id };
     assert!(fixture.step(read.clone()).contains(&readable));
     fixture.now += 900 * MILLI;
     assert!(!fixture.step(read).contains(&readable));
     fixture.now += 100 * MILLI;
-    let result = Err(ProposalFault::Lost);
-    let lost = ReplicaOutput::Proposed { id, result };
+    let result = Err(ProposalError::LeadershipLost);
+    let lost = ReplicaOutput::ProposalDone { id, result };
     assert!(fixture.step(ReplicaInput::Tick).contains(&lost));
     assert_eq!(fixture.replica.status().role, ReplicaRole::Follower);
 }
 
-/// An answer that was long under way proves that its sender heard the leader when it was sent, not
-/// now: the lease counts from then.
+/// A delayed answer proves only that its sender heard the leader when the leader sent the message,
+/// not now. The lease must count from the time of sending.
 #[test]
 fn a_late_answer_does_not_stretch_the_lease() {
     let mut fixture = Fixture::leader();
@@ -276,8 +276,8 @@
     assert_eq!(until, Some(sent + 900 * MILLI));
 }
 
-/// A replica is cut off for a day. When it comes back its term must not be so high that it deposes
-/// a leader that works.
+/// A replica is partitioned off for a day. When it returns, its term must not be so high that it
+/// deposes a working leader.
 #[test]
 fn a_replica_that_is_cut_off_keeps_its_term() {
     let mut fixture = Fixture::new();
--- a/crates/ebonystand/src/group.rs
+++ b/crates/ebonystand/src/group.rs
@@ -120,9 +120,9 @@
                     self.unsynced.token = Some(token);
                     continue;
                 }
-                Output::Proposed { id, result } => GroupEffect::Proposed { id, result },
-                Output::Readable { id, result } => GroupEffect::Readable { id, result },
-                Output::Role { role, term } => {
+                Output::ProposalDone { id, result } => GroupEffect::Proposed { id, result },
+                Output::ReadBarrierDone { id, result } => GroupEffect::Readable { id, result },
+                Output::RoleChanged { role, term } => {
                     let id = self.replica.id();
                     log::info!("replica {id} is {role} in term {term}");
                     continue;
--- a/crates/ebonystand/src/group_controller.rs
+++ b/crates/ebonystand/src/group_controller.rs
@@ -1,7 +1,7 @@
 use super::*;
 use {
     ebonystand_core::{
-        Command, CommandOutcome, LogPayload, LogSnapshot, MemberId, ProposalFault, ProposalId,
+        Command, CommandOutcome, LogPayload, LogSnapshot, MemberId, ProposalError, ProposalId,
         ReplicaInput, ReplicaMessage, ReplicaStatus,
     },
     ebonystand_wire::Proposed,
@@ -216,7 +216,7 @@
         }
     }
 
-    fn proposed(&self, id: ProposalId, result: Result<u64, ProposalFault>) {
+    fn proposed(&self, id: ProposalId, result: Result<u64, ProposalError>) {
         let tx = self.proposals.borrow_mut().remove(&id);
         let Some(tx) = tx else { return };
         let proposed = match result {
@@ -224,10 +224,10 @@
                 Some(outcome) => Proposed::Done(Box::new(outcome)),
                 None => Proposed::Nowhere,
             },
-            Err(ProposalFault::NotLeader { leader }) => {
+            Err(ProposalError::NotLeader { leader }) => {
                 Proposed::Elsewhere(leader.map(|leader| leader.vm))
             }
-            Err(ProposalFault::ChangeRefused | ProposalFault::Lost) => Proposed::Nowhere,
+            Err(ProposalError::ChangeRefused | ProposalError::LeadershipLost) => Proposed::Nowhere,
         };
         let _ = tx.send(proposed);
     }
--- a/crates/ebonystand/src/group_effect.rs
+++ b/crates/ebonystand/src/group_effect.rs
@@ -18,14 +18,14 @@
         /// Proposer's number.
         id: ProposalId,
         /// Index of its entry, whose `Commit` came before.
-        result: Result<LogIndex, ProposalFault>,
+        result: Result<LogIndex, ProposalError>,
     },
     /// What became of a read barrier.
     Readable {
         /// Reader's number.
         id: ProposalId,
         /// Index that the state must have reached.
-        result: Result<LogIndex, ProposalFault>,
+        result: Result<LogIndex, ProposalError>,
     },
     /// A message is to be sent to the replica of the same group on a VM.
     Send {
--- a/crates/ebonystand/src/lib.rs
+++ b/crates/ebonystand/src/lib.rs
@@ -12,7 +12,7 @@
     clap::{Arg, ArgMatches, Command, value_parser},
     ebonystand_core::{
         ChangeOutcome, ChangeRequest, Document, DurableState, Incarnation, KeyHash, KeyId,
-        LogEntry, LogIndex, LogRecord, LogSnapshot, PersistToken, ProposalFault, ProposalId,
+        LogEntry, LogIndex, LogRecord, LogSnapshot, PersistToken, ProposalError, ProposalId,
         Refusal, RefusalCode, RegionId, Replica, ReplicaConfig, ReplicaInput, ReplicaMessage,
         ReplicaOutput, RunState, Tokens, Upstream, UpstreamId, Version, VmId, Workspace,
         WorkspaceId, ZoneId,
