--- a/crates/ebonystand/src/operator_status.rs
+++ b/crates/ebonystand/src/operator_status.rs
@@ -61,7 +61,7 @@
         vm: id.vm.clone(),
     });
     GroupStatus {
-        committed: status.commit,
+        committed: status.commit_index,
         group: "configuration".into(),
         leader: status.leader.as_ref().map(|leader| leader.vm.clone()),
         members: members.collect(),
--- a/crates/ebonystand/src/order_controller.rs
+++ b/crates/ebonystand/src/order_controller.rs
@@ -4,9 +4,9 @@
     call_service::ServiceCall,
     dispatch::{Answer, DispatchFailure},
     ebonystand_core::{
-        BodyHash, Command, CommandOutcome, Deadline, OrderAction, OrderAnswer, OrderCommand,
-        OrderDispatch, OrderHolders, OrderId, OrderLimits, OrderOutcome, OrderReply, OrderRequest,
-        Permit, Sending, Unsent, order_region,
+        BodyHash, Command, CommandOutcome, Deadline, InFlightOrder, OrderAction, OrderAnswer,
+        OrderCommand, OrderDispatch, OrderHolderSource, OrderId, OrderLimits, OrderOutcome,
+        OrderPermit, OrderReply, OrderRequest, UnsentOrder, order_region,
     },
     group_controller::GroupController,
     in_flight::InFlight,
@@ -15,15 +15,15 @@
 
 /// Runs once-only orders, each by a task that outlives its caller.
 pub(crate) struct OrderController {
-    holders: RefCell<OrderHolders>,
+    holders: RefCell<OrderHolderSource>,
 }
 
 /// What an order's task waits for.
 enum OrderEvent {
-    Answered(Sending, OrderAnswer),
+    Answered(InFlightOrder, OrderAnswer),
     Outcome(OrderOutcome),
-    Unanswered(Sending),
-    Unsent(Unsent),
+    Unanswered(InFlightOrder),
+    Unsent(UnsentOrder),
 }
 
 /// One order that runs.
@@ -44,7 +44,7 @@
 
     pub(crate) fn new(vm: VmId, incarnation: Incarnation) -> Self {
         Self {
-            holders: RefCell::new(OrderHolders::new(vm, incarnation)),
+            holders: RefCell::new(OrderHolderSource::new(vm, incarnation)),
         }
     }
 
@@ -63,7 +63,7 @@
             return Err(refusal.with_retry_after(Self::RETRY_AFTER));
         }
         let req = Self::request(node, &call, key, call.req.deadline);
-        let holder = node.orders.holders.borrow_mut().draw();
+        let holder = node.orders.holders.borrow_mut().next_holder();
         let order = OrderDispatch::new(req, holder, &OrderLimits::default())?;
         let (reply, answer) = oneshot::channel();
         let (events, inbox) = mpsc::unbounded_channel();
@@ -106,8 +106,8 @@
         let left = deadline.remaining(now);
         let req = &call.req;
         OrderRequest {
-            at: node.clock.wall().as_secs(),
-            body: BodyHash::of(call.method.as_str(), &call.path, &req.body),
+            received_at: node.clock.wall().as_secs(),
+            body_hash: BodyHash::from_request(call.method.as_str(), &call.path, &req.body),
             dispatch_by: now + left * Self::DISPATCH_PERMILLE / 1_000,
             id: OrderId {
                 key,
@@ -129,9 +129,11 @@
             for action in actions {
                 self.act(action);
             }
-            let Some(wake) = order.wake() else { return };
+            let Some(wake) = order.next_poll() else {
+                return;
+            };
             let now = self.node.clock.now();
-            let wait = wake.saturating_sub(now).min(OrderDispatch::SETTLE_FOR);
+            let wait = wake.saturating_sub(now).min(OrderDispatch::SETTLE_TIMEOUT);
             tokio::select! {
                 Some(event) = inbox.recv() => {
                     actions = self.take(&mut order, event);
@@ -176,10 +178,10 @@
     fn take(&self, order: &mut OrderDispatch, event: OrderEvent) -> Vec<OrderAction> {
         let now = self.node.clock.now();
         match event {
-            OrderEvent::Answered(sending, answer) => order.answered(now, sending, answer),
-            OrderEvent::Outcome(outcome) => order.outcome(now, &outcome),
-            OrderEvent::Unanswered(sending) => order.unanswered(now, sending),
-            OrderEvent::Unsent(unsent) => order.unsent(now, unsent),
+            OrderEvent::Answered(sending, answer) => order.record_answer(now, sending, answer),
+            OrderEvent::Outcome(outcome) => order.handle_outcome(now, &outcome),
+            OrderEvent::Unanswered(sending) => order.record_no_answer(now, sending),
+            OrderEvent::Unsent(unsent) => order.record_unsent(now, unsent),
         }
     }
 }
@@ -191,7 +193,7 @@
 }
 
 impl Dispatch {
-    async fn run(self, permit: Permit) -> OrderEvent {
+    async fn run(self, permit: OrderPermit) -> OrderEvent {
         let node = &self.node;
         let mut excluded = Vec::new();
         let mut next = self.begin(&excluded).await;
@@ -223,7 +225,7 @@
                 }
             }
             next = self.begin(&excluded).await;
-            sending = match sending.turn_to_another(node.clock.now()) {
+            sending = match sending.switch_upstream(node.clock.now()) {
                 Ok(sending) => sending,
                 Err(unsent) => return OrderEvent::Unsent(unsent),
             };
--- a/crates/ebonystand/src/serve.rs
+++ b/crates/ebonystand/src/serve.rs
@@ -227,10 +227,10 @@
     let members = settings.members.iter().cloned().collect();
     let cfg = ReplicaConfig {
         election_timeout: settings.group.election,
-        may_found: settings.founding,
-        open: settings.group.open,
+        may_found_group: settings.founding,
+        admits_any_vm: settings.group.open,
         snapshot_threshold: settings.group.snapshot_entries,
-        voters: settings.group.voters,
+        target_voters: settings.group.voters,
         ..ReplicaConfig::new(settings.vm.clone(), members)
     };
     let seed = getrandom::u64().context(error::Random)?;
--- a/crates/ebonystand/src/state_controller.rs
+++ b/crates/ebonystand/src/state_controller.rs
@@ -102,7 +102,7 @@
         loop {
             actix_rt::time::sleep(Self::PRUNE_EVERY).await;
             let at = node.clock.wall().as_secs();
-            let due = node.state.machine.borrow().orders().prune_due(at);
+            let due = node.state.machine.borrow().orders().prune_command(at);
             let Some(command) = due.filter(|_| node.state.leads(node.clock.now())) else {
                 continue;
             };
@@ -205,13 +205,13 @@
     fn take(node: &Rc<Node>, output: FeedOutput) {
         match output {
             FeedOutput::Apply { change } => {
-                let followed = node.state.machine.borrow_mut().follow(&change);
+                let followed = node.state.machine.borrow_mut().apply_accepted(&change);
                 if followed {
                     Self::changed(node, Some(&change.change));
                 }
             }
             FeedOutput::Install { document } => {
-                let installed = node.state.machine.borrow_mut().install(*document);
+                let installed = node.state.machine.borrow_mut().install_document(*document);
                 if installed {
                     Self::changed(node, None);
                 }
--- a/crates/ebonystand/src/storage.rs
+++ b/crates/ebonystand/src/storage.rs
@@ -158,7 +158,7 @@
         snapshot: Option<LogSnapshot>,
         records: Vec<LogRecord>,
     ) -> Result<DurableState, StorageError> {
-        let mut state = DurableState::blank(incarnation);
+        let mut state = DurableState::empty(incarnation);
         records.into_iter().for_each(|record| state.apply(record));
         if let Some(snapshot) = snapshot {
             let behind = state
--- a/crates/ebonystand/tests/storage.rs
+++ b/crates/ebonystand/tests/storage.rs
@@ -173,7 +173,7 @@
     assert_eq!(same.incarnation, before.incarnation);
     fs::remove_dir_all(folder.path()).expect("removes");
     let other = reopen(folder.path()).expect("opens");
-    assert_eq!(other, DurableState::blank(other.incarnation));
+    assert_eq!(other, DurableState::empty(other.incarnation));
     assert_ne!(other.incarnation, before.incarnation);
 }
 
