--- a/crates/ebonystand-core/src/body_hash.rs
+++ b/crates/ebonystand-core/src/body_hash.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// SHA-256 of what an order asks for: its method, path and body.
+/// SHA-256 hash of an order's request: its method, path and body.
 #[derive(Clone, Copy, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{}", hex::encode(_0))]
 pub struct BodyHash([u8; BodyHash::LEN]);
 
 impl BodyHash {
-    /// Length in bytes.
+    /// Length of the hash in bytes.
     pub const LEN: usize = 32;
 
-    /// Digest of a request. Each part goes in behind its length, so that no two requests share
-    /// the digested bytes.
+    /// Hashes a request. The length of each part precedes it, so that no two different requests
+    /// hash the same bytes.
     #[must_use]
     pub fn from_request(method: &str, path: &str, body: &[u8]) -> Self {
         use sha2::Digest;
--- a/crates/ebonystand-core/src/call.rs
+++ b/crates/ebonystand-core/src/call.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// One call that a plain service offers.
+/// Call that a plain service offers, identified by method and path.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// HTTP method, in upper case.
+    /// HTTP method in upper case.
     pub method: Box<str>,
-    /// The call must not run twice: it needs an order key and is journalled before it is sent.
+    /// Whether the call must not run twice. Such a call needs an order key and is recorded in the
+    /// journal before it is sent.
     pub once: bool,
-    /// Path below the service, without its leading slash; `*` at the end matches any rest.
+    /// Path below the service, without the leading slash; a `*` at the end matches any rest.
     pub path: Box<str>,
 }
 
 impl Call {
-    /// Whether a request with this method and path is this call.
+    /// Returns whether a request with this method and path matches the call.
     #[must_use]
     pub fn matches(&self, method: &str, path: &str) -> bool {
         if &*self.method != method {
--- a/crates/ebonystand-core/src/in_flight_order.rs
+++ b/crates/ebonystand-core/src/in_flight_order.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Proof that an order may be on its way to an upstream.
+/// Token of an order that may be on its way to an upstream.
 #[derive(Debug)]
 #[must_use = "an order whose outcome is not told stays unknown for ever"]
 pub struct InFlightOrder {
@@ -9,14 +9,16 @@
 }
 
 impl InFlightOrder {
-    /// Turns to another upstream, right before the first byte goes out to it. Only for a caller
-    /// that knows that no byte of the order was handed to a connection so far.
+    /// Checks that the order may still be sent to another upstream. Must be called immediately
+    /// before the first byte is sent to it, and only if no byte of the order was passed to a
+    /// connection so far.
     ///
-    /// The time is checked again: opening the connection that failed may have taken all of it.
+    /// The deadline is checked again because the failed attempt to connect may have used up the
+    /// time.
     ///
     /// # Errors
     ///
-    /// [`UnsentOrder`] if it is too late to send.
+    /// Returns an [`UnsentOrder`] if the deadline for sending has passed.
     pub fn switch_upstream(self, now: Duration) -> Result<Self, UnsentOrder> {
         if now >= self.dispatch_by {
             return Err(self.into_unsent());
@@ -24,8 +26,8 @@
         Ok(self)
     }
 
-    /// Takes the sending back. Only for a caller that knows that no byte of the order was handed
-    /// to a connection: the connection could not be opened, or was found closed before.
+    /// Reverts the order to unsent. Must be called only if no byte of the order was passed to a
+    /// connection: the connection couldn't be opened, or was found closed beforehand.
     pub fn into_unsent(self) -> UnsentOrder {
         UnsentOrder {
             holder: self.holder,
--- a/crates/ebonystand-core/src/order/mod.rs
+++ b/crates/ebonystand-core/src/order/mod.rs
@@ -1,4 +1,5 @@
-//! Once-only orders: their journal, their grants and what callers are told.
+//! Once-only orders: requests with an order key, which run at most once. Contains the replicated
+//! journal of orders, the grants to send them, and the replies to callers.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/order/order_action.rs
+++ b/crates/ebonystand-core/src/order/order_action.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// What an [`OrderDispatch`] wants done.
+/// Action that a driver must carry out for an [`OrderDispatch`].
 #[derive(Debug)]
 pub enum OrderAction {
-    /// Send the order to an upstream, or give the permit back.
+    /// Send the order to an upstream, or return the permit unused.
     Dispatch(OrderPermit),
-    /// Bring the command to the log of the order's region, and the outcome back to
-    /// [`OrderDispatch::handle_outcome`]. It may get lost or come twice.
+    /// Propose the command to the log of the order's region, and pass the outcome to
+    /// [`OrderDispatch::handle_outcome`]. The network may lose or duplicate the command and the
+    /// outcome.
     Propose(OrderCommand),
-    /// Answer the caller. Said once.
+    /// Reply to the caller. Occurs at most once.
     Reply(OrderReply),
 }
--- a/crates/ebonystand-core/src/order/order_answer.rs
+++ b/crates/ebonystand-core/src/order/order_answer.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Whole answer of an upstream to an order.
+/// Complete response of an upstream to an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderAnswer {
-    /// Body, whole.
+    /// Complete body of the response.
     pub body: Bytes,
-    /// Media type of the body, as the upstream named it.
+    /// Value of the `Content-Type` header that the upstream sent.
     pub content_type: Box<str>,
-    /// HTTP status.
+    /// HTTP status code of the response.
     pub status: u16,
 }
 
 impl OrderAnswer {
-    /// Bytes that count against the limits on stored answers.
+    /// Returns the size in bytes that counts against the limits on stored answers.
     #[must_use]
     pub fn size(&self) -> usize {
         self.body.len() + self.content_type.len()
--- a/crates/ebonystand-core/src/order/order_command.rs
+++ b/crates/ebonystand-core/src/order/order_command.rs
@@ -1,49 +1,51 @@
 use super::*;
 
-/// Entry of the replicated log that an [`OrderJournal`] is made from.
+/// Command that changes an [`OrderJournal`], replicated through the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderCommand {
-    /// The holder will not send the order. Also says so ahead of a grant that is still on its way.
+    /// Records that the holder will not send the order. A later grant to the same holder, still on
+    /// its way, is then rejected as stale.
     Abandon {
-        /// What the order asks for: a request with another body must not be told the answer.
+        /// Hash of the order's request. A request with another body must not get the answer.
         body: BodyHash,
-        /// Who says it.
+        /// Holder that abandons the order.
         holder: OrderHolder,
-        /// The order.
+        /// ID of the order.
         id: OrderId,
     },
-    /// The upstream has answered the holder.
+    /// Records the upstream's answer.
     Answer {
-        /// What it answered.
+        /// Answer of the upstream.
         answer: OrderAnswer,
-        /// Who was answered.
+        /// Holder that received the answer.
         holder: OrderHolder,
-        /// The order.
+        /// ID of the order.
         id: OrderId,
     },
-    /// The holder asks to be the one that sends the order.
+    /// Requests the grant, that is, the exclusive right to send the order.
     Grant {
-        /// Wall clock of the asking VM, in seconds since 1970. Only bounds how far ahead a key may
-        /// be minted; no grant is safe or unsafe by it.
+        /// Wall clock of the requesting VM, in seconds since 1970. It only limits how far in the
+        /// future a key may be minted; the safety of a grant doesn't depend on it.
         at: u64,
-        /// What the order asks for.
+        /// Hash of the order's request.
         body: BodyHash,
-        /// Who asks.
+        /// Holder that requests the grant.
         holder: OrderHolder,
-        /// The order.
+        /// ID of the order.
         id: OrderId,
     },
-    /// The holder has sent the order, wholly or in part, and will get no answer.
+    /// Records that the holder has sent the order, at least in part, and will receive no answer.
     MarkUnknown {
-        /// Who sent it.
+        /// Holder that sent the order.
         holder: OrderHolder,
-        /// The order.
+        /// ID of the order.
         id: OrderId,
     },
-    /// Forget the orders whose keys were minted before the floor, and refuse such keys from now on.
+    /// Deletes the records of orders whose keys were minted before the floor, and rejects such keys
+    /// from now on.
     Prune {
-        /// Seconds since 1970. Lowered to what the newest key of the journal and
-        /// [`OrderLimits::retention`] allow, so that one wrong clock expires nothing.
+        /// Floor in seconds since 1970. The journal lowers it to [`OrderLimits::retention`] before
+        /// the newest granted key, so that one wrong clock expires no key in use.
         floor: u64,
     },
 }
--- a/crates/ebonystand-core/src/order/order_dispatch.rs
+++ b/crates/ebonystand-core/src/order/order_dispatch.rs
@@ -1,33 +1,40 @@
 use super::*;
 
-/// One request for an order at one VM, from the grant to the stored answer.
+/// State machine of one request for an order on one VM, from the grant to the stored answer.
 ///
-/// Call [`poll`](Self::poll) at once and whenever [`wake`](Self::wake) is due. It lives on after
-/// the caller is answered, until the journal has what became of the order.
+/// The driver calls [`poll`](Self::poll) at once and whenever [`poll_at`](Self::poll_at) is due.
+/// The state machine remains active after the caller has its reply, until the journal has recorded
+/// what happened to the order.
 #[derive(Debug)]
 pub struct OrderDispatch {
-    asked: u32,
+    /// Number of times the current command was proposed.
+    proposal_count: u32,
     holder: OrderHolder,
     phase: OrderPhase,
+    /// Whether the caller has a reply or has disconnected.
     replied: bool,
     req: OrderRequest,
+    /// When the current command is proposed again.
     resend_at: Duration,
 }
 
 impl OrderDispatch {
-    /// Wait before a command is proposed again, doubled each time up to [`Self::RESEND_AT_MOST`].
+    /// Delay before a command is first proposed again. It doubles with each proposal, up to
+    /// [`Self::MAX_RESEND_DELAY`].
     pub const INITIAL_RESEND_DELAY: Duration = Duration::from_millis(400);
-    /// Longest wait before a command is proposed again.
+    /// Longest delay before a command is proposed again.
     pub const MAX_RESEND_DELAY: Duration = Duration::from_secs(5);
-    /// Time after the caller's reply for which the journal is still told. After it an unsettled
-    /// order stays granted, and callers hear `unknown`.
+    /// Time after the caller's reply deadline during which proposals to the journal continue. An
+    /// order that isn't settled by then stays granted, and callers get the run state `unknown`.
     pub const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-    /// A request by a holder drawn for it alone.
+    /// Creates the state machine of a request. `holder` must have been created for this request
+    /// alone.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if the key is malformed or minted in the future; nothing was asked for.
+    /// Returns a [`Refusal`] if the key is malformed or minted in the future. Nothing has been
+    /// proposed then.
     pub fn new(
         req: OrderRequest,
         holder: OrderHolder,
@@ -35,83 +42,83 @@
     ) -> Result<Self, Refusal> {
         let parts = OrderKeyParts::parse(&req.id.key).map_err(|fault| fault.refusal())?;
         if parts.minted > req.received_at.saturating_add(limits.skew.as_secs()) {
-            return Err(OrderKeyError::Early.refusal());
+            return Err(OrderKeyError::InFuture.refusal());
         }
         Ok(Self {
-            asked: 0,
+            proposal_count: 0,
             holder,
-            phase: OrderPhase::Asking,
+            phase: OrderPhase::AwaitingGrant,
             replied: false,
             req,
             resend_at: Duration::ZERO,
         })
     }
 
-    /// The upstream has answered, whole.
+    /// Records the complete answer of the upstream, replies with it and proposes to store it.
     pub fn record_answer(
         &mut self,
         now: Duration,
-        sending: InFlightOrder,
+        order: InFlightOrder,
         answer: OrderAnswer,
     ) -> Vec<OrderAction> {
-        let InFlightOrder { holder, .. } = sending;
-        if !self.takes_back(&holder) {
+        let InFlightOrder { holder, .. } = order;
+        if !self.is_outstanding(&holder) {
             return Vec::new();
         }
         let reply = OrderReply::Answer {
             answer: answer.clone(),
             replayed: false,
         };
-        let mut actions = self.reply(reply);
-        actions.extend(self.enter(now, OrderPhase::Storing(answer)));
+        let mut actions = self.reply_once(reply);
+        actions.extend(self.enter(now, OrderPhase::StoringAnswer(answer)));
         actions
     }
 
-    /// The caller has left; an order that is not granted yet need not run.
+    /// Records that the caller has disconnected. An order that isn't granted yet is abandoned.
     pub fn cancel(&mut self, now: Duration) -> Vec<OrderAction> {
         self.replied = true;
         match self.phase {
-            OrderPhase::Asking => self.enter(now, OrderPhase::Abandoning { granted: false }),
+            OrderPhase::AwaitingGrant => self.enter(now, OrderPhase::Abandoning { granted: false }),
             _ => Vec::new(),
         }
     }
 
-    /// Who asks.
+    /// Returns the holder of this request.
     #[must_use]
     pub fn holder(&self) -> &OrderHolder {
         &self.holder
     }
 
-    /// Whether it needs no more calls.
+    /// Returns whether the state machine needs no further calls.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.phase == OrderPhase::Closed
     }
 
-    /// Takes what became of a command that it proposed.
+    /// Handles the outcome of a command that this state machine proposed.
     pub fn handle_outcome(&mut self, now: Duration, outcome: &OrderOutcome) -> Vec<OrderAction> {
         match &self.phase {
-            OrderPhase::Abandoning { granted } => self.outcome_of_abandon(*granted, outcome),
-            OrderPhase::Asking => self.outcome_of_ask(now, outcome),
+            OrderPhase::Abandoning { granted } => self.handle_abandon_outcome(*granted, outcome),
+            OrderPhase::AwaitingGrant => self.handle_grant_outcome(now, outcome),
             OrderPhase::Closed | OrderPhase::Permitted => Vec::new(),
-            OrderPhase::Marking => self.close_if(matches!(
+            OrderPhase::MarkingUnknown => self.close_if(matches!(
                 outcome,
                 OrderOutcome::Unknown | OrderOutcome::Stale(_)
             )),
-            OrderPhase::Storing(_) => self.close_if(matches!(
+            OrderPhase::StoringAnswer(_) => self.close_if(matches!(
                 outcome,
                 OrderOutcome::AnswerDropped | OrderOutcome::Stale(_) | OrderOutcome::Stored
             )),
         }
     }
 
-    /// Does what is due.
+    /// Carries out what is due at `now`: replies, abandons or proposes a command again.
     pub fn poll(&mut self, now: Duration) -> Vec<OrderAction> {
         let mut actions = Vec::new();
         if now >= self.req.reply_by {
-            actions.extend(self.reply(OrderReply::late()));
+            actions.extend(self.reply_once(OrderReply::deadline_passed()));
         }
-        if self.phase == OrderPhase::Asking && now >= self.req.dispatch_by {
+        if self.phase == OrderPhase::AwaitingGrant && now >= self.req.dispatch_by {
             actions.extend(self.enter(now, OrderPhase::Abandoning { granted: false }));
         }
         if self.phase != OrderPhase::Permitted && now >= self.req.reply_by + Self::SETTLE_TIMEOUT {
@@ -123,31 +130,33 @@
         actions
     }
 
-    /// The order was sent, wholly or in part, and no answer will come.
-    pub fn record_no_answer(&mut self, now: Duration, sending: InFlightOrder) -> Vec<OrderAction> {
-        let InFlightOrder { holder, .. } = sending;
-        if !self.takes_back(&holder) {
+    /// Records that the order was sent, at least in part, and that no answer will arrive.
+    pub fn record_no_answer(&mut self, now: Duration, order: InFlightOrder) -> Vec<OrderAction> {
+        let InFlightOrder { holder, .. } = order;
+        if !self.is_outstanding(&holder) {
             return Vec::new();
         }
-        let mut actions = self.reply(OrderReply::Refusal(OrderReply::unanswered()));
-        actions.extend(self.enter(now, OrderPhase::Marking));
+        let mut actions = self.reply_once(OrderReply::Refusal(OrderReply::no_answer_refusal()));
+        actions.extend(self.enter(now, OrderPhase::MarkingUnknown));
         actions
     }
 
-    /// Nothing was sent, nor will be. The caller hears `not_run` once that is durable.
-    pub fn record_unsent(&mut self, now: Duration, unsent: UnsentOrder) -> Vec<OrderAction> {
-        let UnsentOrder { holder } = unsent;
-        if !self.takes_back(&holder) {
+    /// Records that the order wasn't sent and won't be. The caller gets the run state `not_run`
+    /// once that is durable.
+    pub fn record_unsent(&mut self, now: Duration, order: UnsentOrder) -> Vec<OrderAction> {
+        let UnsentOrder { holder } = order;
+        if !self.is_outstanding(&holder) {
             return Vec::new();
         }
         self.enter(now, OrderPhase::Abandoning { granted: true })
     }
 
-    /// Moment of the next [`poll`](Self::poll); `None` once closed.
+    /// Returns when [`poll`](Self::poll) must be called next; `None` if the state machine is
+    /// closed.
     #[must_use]
-    pub fn next_poll(&self) -> Option<Duration> {
+    pub fn poll_at(&self) -> Option<Duration> {
         let next = match self.phase {
-            OrderPhase::Asking => self.resend_at.min(self.req.dispatch_by),
+            OrderPhase::AwaitingGrant => self.resend_at.min(self.req.dispatch_by),
             OrderPhase::Closed => return None,
             OrderPhase::Permitted => Duration::MAX,
             _ => self.resend_at,
@@ -161,7 +170,7 @@
 
     fn close(&mut self, reply: OrderReply) -> Vec<OrderAction> {
         self.phase = OrderPhase::Closed;
-        self.reply(reply)
+        self.reply_once(reply)
     }
 
     fn close_if(&mut self, done: bool) -> Vec<OrderAction> {
@@ -171,19 +180,20 @@
         Vec::new()
     }
 
-    fn command(&self) -> Option<OrderCommand> {
+    /// Returns the command that the current phase needs the journal to apply.
+    fn current_command(&self) -> Option<OrderCommand> {
         let (body, holder, id) = (self.req.body_hash, self.holder.clone(), self.req.id.clone());
         match &self.phase {
             OrderPhase::Abandoning { .. } => Some(OrderCommand::Abandon { body, holder, id }),
-            OrderPhase::Asking => Some(OrderCommand::Grant {
+            OrderPhase::AwaitingGrant => Some(OrderCommand::Grant {
                 at: self.req.received_at,
                 body,
                 holder,
                 id,
             }),
             OrderPhase::Closed | OrderPhase::Permitted => None,
-            OrderPhase::Marking => Some(OrderCommand::MarkUnknown { holder, id }),
-            OrderPhase::Storing(answer) => Some(OrderCommand::Answer {
+            OrderPhase::MarkingUnknown => Some(OrderCommand::MarkUnknown { holder, id }),
+            OrderPhase::StoringAnswer(answer) => Some(OrderCommand::Answer {
                 answer: answer.clone(),
                 holder,
                 id,
@@ -191,27 +201,35 @@
         }
     }
 
+    /// Enters a phase and proposes its command.
     fn enter(&mut self, now: Duration, phase: OrderPhase) -> Vec<OrderAction> {
-        self.asked = 0;
+        self.proposal_count = 0;
         self.phase = phase;
         self.propose(now).into_iter().collect()
     }
 
-    /// A grant that was asked for earlier may still be known or come to be: the caller is told
-    /// what the abandonment found. A late `Granted` is passed over; the abandonment follows it in
-    /// the log or goes before it, and either way the order was not sent.
-    fn outcome_of_abandon(&mut self, granted: bool, outcome: &OrderOutcome) -> Vec<OrderAction> {
+    /// Handles the outcome of an abandonment.
+    ///
+    /// A grant requested earlier may already be known or may still arrive, so the caller is told
+    /// what the abandonment found. A late `Granted` is ignored: whether the abandonment follows the
+    /// grant in the log or precedes it, the order was not sent.
+    fn handle_abandon_outcome(
+        &mut self,
+        granted: bool,
+        outcome: &OrderOutcome,
+    ) -> Vec<OrderAction> {
         let settles = match outcome {
             OrderOutcome::Abandoned | OrderOutcome::Expired => true,
             _ => !granted,
         };
-        match OrderReply::of(outcome) {
+        match OrderReply::from_outcome(outcome) {
             Some(reply) if settles => self.close(reply),
             _ => Vec::new(),
         }
     }
 
-    fn outcome_of_ask(&mut self, now: Duration, outcome: &OrderOutcome) -> Vec<OrderAction> {
+    /// Handles the outcome of a request for the grant.
+    fn handle_grant_outcome(&mut self, now: Duration, outcome: &OrderOutcome) -> Vec<OrderAction> {
         match outcome {
             OrderOutcome::Granted => {
                 self.phase = OrderPhase::Permitted;
@@ -221,24 +239,27 @@
                     id: self.req.id.clone(),
                 })]
             }
-            // A second ask, still on its way, may find room: it must not leave a grant behind.
-            OrderOutcome::Full if self.asked > 1 => {
+            // Another request for the grant, still on its way, may find room in the journal.
+            // Abandoning the order keeps it from leaving a grant behind.
+            OrderOutcome::Full if self.proposal_count > 1 => {
                 self.enter(now, OrderPhase::Abandoning { granted: false })
             }
             OrderOutcome::Abandoned => Vec::new(),
-            _ => OrderReply::of(outcome).map_or_else(Vec::new, |reply| self.close(reply)),
+            _ => OrderReply::from_outcome(outcome).map_or_else(Vec::new, |reply| self.close(reply)),
         }
     }
 
+    /// Proposes the current command and schedules the next proposal of it.
     fn propose(&mut self, now: Duration) -> Option<OrderAction> {
-        let command = self.command()?;
-        let wait = Self::INITIAL_RESEND_DELAY * 2_u32.saturating_pow(self.asked.min(8));
-        self.asked += 1;
+        let command = self.current_command()?;
+        let wait = Self::INITIAL_RESEND_DELAY * 2_u32.saturating_pow(self.proposal_count.min(8));
+        self.proposal_count += 1;
         self.resend_at = now + wait.min(Self::MAX_RESEND_DELAY);
         Some(OrderAction::Propose(command))
     }
 
-    fn reply(&mut self, reply: OrderReply) -> Vec<OrderAction> {
+    /// Replies to the caller unless it has a reply or has disconnected.
+    fn reply_once(&mut self, reply: OrderReply) -> Vec<OrderAction> {
         if self.replied {
             return Vec::new();
         }
@@ -246,8 +267,9 @@
         vec![OrderAction::Reply(reply)]
     }
 
-    /// Whether a token is the one that is out. One of another request must not settle this one.
-    fn takes_back(&self, holder: &OrderHolder) -> bool {
+    /// Returns whether a token belongs to the permit that this request was given. A token of
+    /// another request must not settle this one.
+    fn is_outstanding(&self, holder: &OrderHolder) -> bool {
         self.phase == OrderPhase::Permitted && self.holder == *holder
     }
 }
--- a/crates/ebonystand-core/src/order/order_holder_source.rs
+++ b/crates/ebonystand-core/src/order/order_holder_source.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Source of the holders of one process.
+/// Generator of the [`OrderHolder`]s of one process.
 #[derive(Debug)]
 pub struct OrderHolderSource {
     attempts: u64,
@@ -9,8 +9,8 @@
 }
 
 impl OrderHolderSource {
-    /// Source for a process that has just started. `incarnation` must be drawn at this very start
-    /// (64 random bits): one read back from a disk would give the holders of the process before.
+    /// Creates the generator at the start of a process. `incarnation` must be 64 random bits drawn
+    /// at this start: one read back from disk would repeat the holders of the previous process.
     #[must_use]
     pub fn new(vm: VmId, incarnation: Incarnation) -> Self {
         Self {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A holder that was never given before.
+    /// Returns a holder that was never returned before.
     #[must_use]
     pub fn next_holder(&mut self) -> OrderHolder {
         self.attempts += 1;
--- a/crates/ebonystand-core/src/order/order_id.rs
+++ b/crates/ebonystand-core/src/order/order_id.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Name of an order: its key within its workspace.
+/// ID of an order: its key within its workspace.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{workspace}:{key}")]
 pub struct OrderId {
-    /// Key that the caller chose; see [`OrderKeyParts`] for its form.
+    /// Key chosen by the caller; see [`OrderKeyParts`] for its format.
     pub key: OrderKey,
-    /// Workspace that the order is for.
+    /// Workspace that the order belongs to.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/order/order_journal.rs
+++ b/crates/ebonystand-core/src/order/order_journal.rs
@@ -1,25 +1,29 @@
 use super::*;
 
-/// Journal of the orders of one region, applied from a replicated log.
+/// Journal of the once-only orders of one region, built from the commands of a replicated log.
 ///
-/// Equal commands in equal order give equal journals and outcomes on every replica. A grant counts
-/// only once its entry is committed, that is, durable on a majority.
+/// Equal commands applied in equal order give equal journals and outcomes on every replica. A grant
+/// is valid only once its entry is committed, that is, durable on a majority.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderJournal {
     answers_bytes: usize,
+    /// Keys minted before this time, in seconds since 1970, are rejected.
     floor: u64,
     limits: OrderLimits,
+    /// Mint time of the newest granted key, in seconds since 1970.
     newest: u64,
+    /// Number of records of each workspace.
     per_workspace: BTreeMap<WorkspaceId, usize>,
     records: BTreeMap<OrderSortKey, OrderRecord>,
+    /// Records with a stored answer, oldest key first.
     stored: BTreeSet<OrderSortKey>,
 }
 
 impl OrderJournal {
-    /// An empty journal that refuses keys minted before `floor`, in seconds since 1970.
+    /// Creates an empty journal that rejects keys minted before `floor`, in seconds since 1970.
     ///
-    /// A group that takes over a region's orders without their records starts with the time of
-    /// its own start plus [`OrderLimits::skew`]; the first group of a region starts with 0.
+    /// A group that takes over the orders of a region without their records must use the time of
+    /// its own start plus [`OrderLimits::skew`]; the first group of a region uses 0.
     #[must_use]
     pub fn new(limits: OrderLimits, floor: u64) -> Self {
         Self {
@@ -29,7 +33,7 @@
         }
     }
 
-    /// Bytes of all stored answers.
+    /// Returns the total size of the stored answers in bytes.
     #[must_use]
     pub fn answers_bytes(&self) -> usize {
         self.answers_bytes
@@ -42,36 +46,36 @@
             OrderCommand::Abandon { id, .. }
             | OrderCommand::Answer { id, .. }
             | OrderCommand::Grant { id, .. }
-            | OrderCommand::MarkUnknown { id, .. } => match OrderSortKey::of(id) {
-                Ok(slot) => self.apply_to(slot, command),
+            | OrderCommand::MarkUnknown { id, .. } => match OrderSortKey::for_order(id) {
+                Ok(key) => self.apply_to_order(key, command),
                 Err(fault) => OrderOutcome::KeyFault(fault),
             },
         }
     }
 
-    /// Time of the oldest key that may still run, in seconds since 1970.
+    /// Returns the mint time of the oldest usable key, in seconds since 1970.
     #[must_use]
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Whether it holds no record.
+    /// Returns whether the journal has no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Commands that mark the orders granted to former processes of a VM as unknown.
+    /// Returns commands that mark the orders granted to previous processes of a VM as unknown.
     ///
-    /// Propose them when the VM has started anew: callers then hear that no answer will come, in
-    /// place of asking again for ever. An order is not freed by it, and should its holder live after
-    /// all, its answer is still taken.
+    /// They should be proposed after a restart of the VM: callers then learn that no answer will
+    /// arrive, instead of asking for it for ever. The commands don't free the orders, and if a
+    /// holder is still running after all, its answer is still accepted.
     pub fn orphan_commands<'a>(
         &'a self,
         vm: &'a str,
@@ -84,27 +88,23 @@
                     && &*record.holder.vm == vm
                     && record.holder.incarnation != incarnation
             })
-            .map(|(slot, record)| OrderCommand::MarkUnknown {
+            .map(|(key, record)| OrderCommand::MarkUnknown {
                 holder: record.holder.clone(),
-                id: slot.id.clone(),
+                id: key.id.clone(),
             })
     }
 
-    /// Floor to ask for in [`OrderCommand::Prune`] at this wall clock, if it would forget anything.
+    /// Returns the [`OrderCommand::Prune`] to propose at wall clock `at`, if it would delete any
+    /// record.
     #[must_use]
     pub fn prune_command(&self, at: u64) -> Option<OrderCommand> {
-        let floor = self.allowed(at.saturating_sub(self.limits.retention.as_secs()));
+        let floor = self.cap_floor(at.saturating_sub(self.limits.retention.as_secs()));
         let oldest = self.records.keys().next()?.minted;
         (oldest < floor).then_some(OrderCommand::Prune { floor })
     }
 
-    fn abandon(
-        &mut self,
-        slot: OrderSortKey,
-        body: BodyHash,
-        holder: &OrderHolder,
-    ) -> OrderOutcome {
-        if let Some(record) = self.records.get_mut(&slot) {
+    fn abandon(&mut self, key: OrderSortKey, body: BodyHash, holder: &OrderHolder) -> OrderOutcome {
+        if let Some(record) = self.records.get_mut(&key) {
             return record.abandon(body, holder);
         }
         let record = OrderRecord {
@@ -112,23 +112,24 @@
             holder: holder.clone(),
             state: OrderState::Abandoned,
         };
-        self.insert(slot, record, OrderOutcome::Abandoned)
+        self.insert(key, record, OrderOutcome::Abandoned)
     }
 
-    fn allowed(&self, floor: u64) -> u64 {
+    /// Lowers a floor so that keys within the retention time of the newest granted key stay usable.
+    fn cap_floor(&self, floor: u64) -> u64 {
         floor.min(self.newest.saturating_sub(self.limits.retention.as_secs()))
     }
 
     fn answer(
         &mut self,
-        slot: OrderSortKey,
+        key: OrderSortKey,
         holder: &OrderHolder,
         answer: &OrderAnswer,
     ) -> OrderOutcome {
-        let Some(record) = self.records.get_mut(&slot) else {
+        let Some(record) = self.records.get_mut(&key) else {
             return OrderOutcome::Stale(OrderStaleReason::Missing);
         };
-        if let Err(stale) = record.check(holder) {
+        if let Err(stale) = record.check_holder(holder) {
             return OrderOutcome::Stale(stale);
         }
         if matches!(
@@ -143,29 +144,30 @@
         }
         record.state = OrderState::Answered(answer.clone());
         self.answers_bytes += answer.size();
-        self.stored.insert(slot);
-        self.drop_answers();
+        self.stored.insert(key);
+        self.evict_answers();
         OrderOutcome::Stored
     }
 
-    fn apply_to(&mut self, slot: OrderSortKey, command: &OrderCommand) -> OrderOutcome {
+    fn apply_to_order(&mut self, key: OrderSortKey, command: &OrderCommand) -> OrderOutcome {
         match command {
-            OrderCommand::Abandon { body, holder, .. } => self.abandon(slot, *body, holder),
-            OrderCommand::Answer { answer, holder, .. } => self.answer(slot, holder, answer),
+            OrderCommand::Abandon { body, holder, .. } => self.abandon(key, *body, holder),
+            OrderCommand::Answer { answer, holder, .. } => self.answer(key, holder, answer),
             OrderCommand::Grant {
                 at, body, holder, ..
-            } => self.grant(slot, *at, *body, holder),
-            OrderCommand::MarkUnknown { holder, .. } => self.mark_unknown(&slot, holder),
+            } => self.grant(key, *at, *body, holder),
+            OrderCommand::MarkUnknown { holder, .. } => self.mark_unknown(&key, holder),
             OrderCommand::Prune { floor } => self.prune(*floor),
         }
     }
 
-    fn drop_answers(&mut self) {
+    /// Drops the answers of the oldest keys until the total size is within its limit.
+    fn evict_answers(&mut self) {
         while self.answers_bytes > self.limits.answers_bytes {
-            let Some(slot) = self.stored.pop_first() else {
+            let Some(key) = self.stored.pop_first() else {
                 return;
             };
-            if let Some(record) = self.records.get_mut(&slot) {
+            if let Some(record) = self.records.get_mut(&key) {
                 if let OrderState::Answered(answer) = &record.state {
                     self.answers_bytes -= answer.size();
                 }
@@ -176,21 +178,21 @@
 
     fn grant(
         &mut self,
-        slot: OrderSortKey,
+        key: OrderSortKey,
         at: u64,
         body: BodyHash,
         holder: &OrderHolder,
     ) -> OrderOutcome {
-        if let Some(record) = self.records.get_mut(&slot) {
+        if let Some(record) = self.records.get_mut(&key) {
             return record.grant(body, holder);
         }
-        if slot.minted > at.saturating_add(self.limits.skew.as_secs()) {
-            return OrderOutcome::KeyFault(OrderKeyError::Early);
+        if key.minted > at.saturating_add(self.limits.skew.as_secs()) {
+            return OrderOutcome::KeyFault(OrderKeyError::InFuture);
         }
-        let minted = slot.minted;
+        let minted = key.minted;
         let outcome = self.insert(
-            slot,
-            OrderRecord::granted(body, holder),
+            key,
+            OrderRecord::new_granted(body, holder),
             OrderOutcome::Granted,
         );
         if outcome == OrderOutcome::Granted {
@@ -201,62 +203,62 @@
 
     /// Adds a record for a key that has none.
     ///
-    /// Below the floor a record may have been there and gone: the order may have run. Granted
-    /// again, it would run twice, so such a key is refused whatever the caller says.
+    /// A key below the floor may have had a record that was deleted, so its order may have run.
+    /// Another grant could run it twice, so such a key is always rejected.
     fn insert(
         &mut self,
-        slot: OrderSortKey,
+        key: OrderSortKey,
         record: OrderRecord,
         outcome: OrderOutcome,
     ) -> OrderOutcome {
-        if slot.minted < self.floor {
+        if key.minted < self.floor {
             return OrderOutcome::Expired;
         }
-        let of_workspace = self.per_workspace.get(&slot.id.workspace).copied();
+        let workspace_count = self.per_workspace.get(&key.id.workspace).copied();
         if self.records.len() >= self.limits.records
-            || of_workspace.unwrap_or(0) >= self.limits.records_per_workspace
+            || workspace_count.unwrap_or(0) >= self.limits.records_per_workspace
         {
             return OrderOutcome::Full;
         }
-        match self.per_workspace.get_mut(&slot.id.workspace) {
+        match self.per_workspace.get_mut(&key.id.workspace) {
             Some(count) => *count += 1,
             None => {
-                self.per_workspace.insert(slot.id.workspace.clone(), 1);
+                self.per_workspace.insert(key.id.workspace.clone(), 1);
             }
         }
-        self.records.insert(slot, record);
+        self.records.insert(key, record);
         outcome
     }
 
-    fn mark_unknown(&mut self, slot: &OrderSortKey, holder: &OrderHolder) -> OrderOutcome {
-        let Some(record) = self.records.get_mut(slot) else {
+    fn mark_unknown(&mut self, key: &OrderSortKey, holder: &OrderHolder) -> OrderOutcome {
+        let Some(record) = self.records.get_mut(key) else {
             return OrderOutcome::Stale(OrderStaleReason::Missing);
         };
-        if let Err(stale) = record.check(holder) {
+        if let Err(stale) = record.check_holder(holder) {
             return OrderOutcome::Stale(stale);
         }
         if record.state == OrderState::Granted {
             record.state = OrderState::Unknown;
         }
-        record.report()
+        record.outcome()
     }
 
     fn prune(&mut self, floor: u64) -> OrderOutcome {
-        self.floor = self.floor.max(self.allowed(floor));
-        let first = OrderSortKey::first(self.floor);
+        self.floor = self.floor.max(self.cap_floor(floor));
+        let first = OrderSortKey::first_at(self.floor);
         let kept = self.records.split_off(&first);
         let gone = std::mem::replace(&mut self.records, kept);
         self.stored = self.stored.split_off(&first);
-        for (slot, record) in &gone {
+        for (key, record) in &gone {
             if let OrderState::Answered(answer) = &record.state {
                 self.answers_bytes -= answer.size();
             }
-            let Some(count) = self.per_workspace.get_mut(&slot.id.workspace) else {
+            let Some(count) = self.per_workspace.get_mut(&key.id.workspace) else {
                 continue;
             };
             *count -= 1;
             if *count == 0 {
-                self.per_workspace.remove(&slot.id.workspace);
+                self.per_workspace.remove(&key.id.workspace);
             }
         }
         OrderOutcome::Pruned {
--- a/crates/ebonystand-core/src/order/order_key_error.rs
+++ b/crates/ebonystand-core/src/order/order_key_error.rs
@@ -1,42 +1,46 @@
-use super::*;
+use {super::*, derive_more::Debug};
 
-/// Why a text is no order key.
+/// Error of an order key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OrderKeyError {
-    /// The key is minted too far ahead of the VM's clock.
+    /// The key was minted too far ahead of the VM's clock.
     #[snafu(display("order key: minted in the future; its seconds must be the present time"))]
-    Early,
-    /// The key is not of its form.
+    #[debug("Early")]
+    #[serde(rename = "Early")]
+    InFuture,
+    /// The key doesn't have the form `[REGION/]SECONDS-NAME`.
     #[snafu(display(
         "order key: must be `[REGION/]SECONDS-NAME`, SECONDS being the time of the order's first \
          request in seconds since 1970 and NAME 1 to 128 letters, digits, `-`, `_`, `.` or `:`"
     ))]
-    Form,
-    /// The key names no region of the configuration.
+    #[debug("Form")]
+    #[serde(rename = "Form")]
+    Malformed,
+    /// The key names a region that the configuration lacks.
     #[snafu(display("order key: no region `{region}`"))]
     Region {
-        /// What it names.
+        /// Region in the key.
         region: RegionId,
     },
     /// The key names a region outside the workspace's residency.
     #[snafu(display("order key: region `{region}` is outside the workspace's residency"))]
     Residency {
-        /// What it names.
+        /// Region in the key.
         region: RegionId,
     },
 }
 
 impl OrderKeyError {
-    /// Final answer to a request with such a key.
+    /// Returns the refusal to send to the caller.
     ///
-    /// A region may have been removed, or a residency narrowed, after the order ran, so these
-    /// two do not claim that it has not.
+    /// A region may have been removed, or a residency narrowed, after the order ran. The refusals
+    /// of `Region` and `Residency` therefore don't claim that the order has not run.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         let message = self.to_string();
         match self {
-            Self::Early | Self::Form => Refusal::not_run(RefusalCode::BadHeader, message),
+            Self::InFuture | Self::Malformed => Refusal::not_run(RefusalCode::BadHeader, message),
             Self::Region { .. } => Refusal::unknown(RefusalCode::BadHeader, message),
             Self::Residency { .. } => Refusal::unknown(RefusalCode::Residency, message),
         }
--- a/crates/ebonystand-core/src/order/order_limits.rs
+++ b/crates/ebonystand-core/src/order/order_limits.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Bounds of an [`OrderJournal`]. They are part of its state: replicas with different bounds would
-/// answer one command differently.
+/// Limits of an [`OrderJournal`]. They are part of its state: replicas with different limits would
+/// answer the same command differently.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderLimits {
-    /// Bytes of one answer above which it is not stored.
+    /// Maximum size of a stored answer, in bytes. Larger answers aren't stored.
     pub answer_bytes: usize,
-    /// Bytes of all stored answers; those of the oldest keys are dropped first.
+    /// Maximum total size of the stored answers, in bytes. The answers of the oldest keys are
+    /// dropped first.
     pub answers_bytes: usize,
-    /// Records above which no new order is granted.
+    /// Maximum number of records. At the limit no new order is granted.
     pub records: usize,
-    /// Records of one workspace above which it gets no new grant, so that one workspace cannot
-    /// fill the journal for all.
+    /// Maximum number of records of one workspace, so that one workspace cannot fill the journal.
     pub records_per_workspace: usize,
-    /// Time for which a key stays usable after it was minted, at the least.
+    /// Minimum time for which a key stays usable after it was minted.
     pub retention: Duration,
-    /// Time by which a caller's clock may be ahead of the VM's.
+    /// Maximum time by which a caller's clock may be ahead of the VM's clock.
     pub skew: Duration,
 }
 
--- a/crates/ebonystand-core/src/order/order_outcome.rs
+++ b/crates/ebonystand-core/src/order/order_outcome.rs
@@ -1,37 +1,37 @@
 use super::*;
 
-/// What became of an [`OrderCommand`].
+/// Outcome of an [`OrderCommand`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderOutcome {
-    /// Nobody holds the order, nothing of it was sent, and this holder gets no grant any more.
+    /// The order has no holder and was not sent, and the holder that asked gets no grant any more.
     Abandoned,
-    /// Another holder has it; it may be running or dead.
+    /// Another attempt holds the order; it may be running or may have crashed.
     AlreadyGranted,
-    /// It ran, and its answer is no longer stored or was too large for it.
+    /// The order ran; its answer was dropped or was too large to store.
     AnswerDropped,
-    /// It ran; this is the answer.
+    /// The order ran and got this answer.
     Answered(OrderAnswer),
     /// The key was used with another body.
     Conflict,
-    /// The key was minted before the floor, and nothing is known of it any more.
+    /// The key was minted before the floor; what happened to its order is no longer known.
     Expired,
-    /// The journal takes no new order now; the holder has no grant.
+    /// The journal has reached its limit of records; the holder has no grant.
     Full,
-    /// The holder, and none but it, may send the order.
+    /// The holder, and no other, may send the order.
     Granted,
-    /// The key is not of the form that [`OrderKeyParts`] takes.
+    /// The key is invalid.
     KeyFault(OrderKeyError),
-    /// Orders with keys minted before this floor, in seconds since 1970, are forgotten.
+    /// Records of orders with keys minted before the floor were deleted.
     Pruned {
-        /// Floor now in force.
+        /// Current floor, in seconds since 1970.
         floor: u64,
-        /// Records that went.
+        /// Number of deleted records.
         records: u64,
     },
-    /// The command came too late, or from one that does not hold the order; nothing has changed.
+    /// The command was too late, or didn't come from the order's holder; nothing has changed.
     Stale(OrderStaleReason),
-    /// The answer is in the journal.
+    /// The journal has the answer, or had it before it was dropped.
     Stored,
-    /// Its holder sent it and got no answer.
+    /// The holder sent the order and got no answer.
     Unknown,
 }
--- a/crates/ebonystand-core/src/order/order_phase.rs
+++ b/crates/ebonystand-core/src/order/order_phase.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// How far an [`OrderDispatch`] has come.
+/// Phase of an [`OrderDispatch`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum OrderPhase {
-    /// It will not send the order and asks the journal to say so.
+    /// The order will not be sent, and the journal is asked to record that.
     Abandoning {
-        /// Its grant was known, so nothing but the abandonment itself frees the order.
+        /// Whether the grant was received, so that only the abandonment itself frees the order.
         granted: bool,
     },
-    /// It asks for the grant.
-    Asking,
-    /// All is done.
+    /// The journal is asked for the grant.
+    AwaitingGrant,
+    /// No further action is needed.
     Closed,
-    /// The order was sent without an answer, which the journal is told.
-    Marking,
-    /// The permit is out.
+    /// The order was sent and got no answer, and the journal is asked to record that.
+    MarkingUnknown,
+    /// The permit was handed to the driver.
     Permitted,
-    /// The answer is on its way to the journal.
-    Storing(OrderAnswer),
+    /// The journal is asked to store the answer.
+    StoringAnswer(OrderAnswer),
 }
--- a/crates/ebonystand-core/src/order/order_record.rs
+++ b/crates/ebonystand-core/src/order/order_record.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// What a journal knows of one order.
+/// A journal's record of one order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct OrderRecord {
-    /// What it asks for.
+    /// Hash of the order's request.
     pub(crate) body: BodyHash,
-    /// Who holds it, or held it last.
+    /// Current or last holder.
     pub(crate) holder: OrderHolder,
-    /// How far it has come.
+    /// State of the order.
     pub(crate) state: OrderState,
 }
 
 impl OrderRecord {
-    /// The holder says that it sent nothing.
+    /// Records that the holder has not sent the order.
     ///
-    /// Only the holder may say so. An abandonment of an earlier attempt, late or sent twice,
-    /// would free an order that another holder is sending: it would run twice.
+    /// Only the holder may abandon it. Otherwise an abandonment by an earlier attempt, delayed or
+    /// duplicated, would free an order that another holder is sending, and the order would run
+    /// twice.
     pub(crate) fn abandon(&mut self, body: BodyHash, holder: &OrderHolder) -> OrderOutcome {
         if self.body != body {
             return OrderOutcome::Conflict;
@@ -25,15 +26,15 @@
             OrderState::Granted | OrderState::Unknown if self.holder == *holder => {
                 self.state = OrderState::Abandoned;
             }
-            _ => return self.report(),
+            _ => return self.outcome(),
         }
         OrderOutcome::Abandoned
     }
 
-    /// Whether an answer or a lack of one that `holder` tells concerns this order.
-    pub(crate) fn check(&self, holder: &OrderHolder) -> Result<(), OrderStaleReason> {
+    /// Checks that `holder` may report an answer, or the lack of one, for this order.
+    pub(crate) fn check_holder(&self, holder: &OrderHolder) -> Result<(), OrderStaleReason> {
         if self.holder != *holder {
-            return Err(OrderStaleReason::Holder);
+            return Err(OrderStaleReason::NotHolder);
         }
         if self.state == OrderState::Abandoned {
             return Err(OrderStaleReason::Abandoned);
@@ -41,29 +42,29 @@
         Ok(())
     }
 
-    /// The holder asks for a grant.
+    /// Grants the order to `holder` if it is free.
     ///
-    /// A holder that has vanished keeps its grant for ever: it may have sent the order, or be
-    /// frozen just before it. No wait is long enough to tell, so no wait frees the order.
+    /// A holder that has vanished keeps its grant for ever: it may have sent the order, or may be
+    /// frozen just before sending it. No timeout can rule that out, so no timeout frees the order.
     pub(crate) fn grant(&mut self, body: BodyHash, holder: &OrderHolder) -> OrderOutcome {
         if self.body != body {
             return OrderOutcome::Conflict;
         }
         match self.state {
-            OrderState::Abandoned if self.outlived(holder) => {
+            OrderState::Abandoned if self.is_already_abandoned(holder) => {
                 OrderOutcome::Stale(OrderStaleReason::Abandoned)
             }
             OrderState::Abandoned => {
-                *self = Self::granted(body, holder);
+                *self = Self::new_granted(body, holder);
                 OrderOutcome::Granted
             }
             OrderState::Granted if self.holder == *holder => OrderOutcome::Granted,
-            _ => self.report(),
+            _ => self.outcome(),
         }
     }
 
-    /// A record of an order that is granted for the first time.
-    pub(crate) fn granted(body: BodyHash, holder: &OrderHolder) -> Self {
+    /// Creates the record of an order that is granted for the first time.
+    pub(crate) fn new_granted(body: BodyHash, holder: &OrderHolder) -> Self {
         Self {
             body,
             holder: holder.clone(),
@@ -71,16 +72,17 @@
         }
     }
 
-    /// Whether the grant asked for belongs to an attempt that was abandoned before: it came late
-    /// or twice, and nobody waits for it. Granted, it would block the order for good.
-    fn outlived(&self, holder: &OrderHolder) -> bool {
+    /// Returns whether a request for the grant comes from an attempt that has already abandoned the
+    /// order. Such a request was delayed or duplicated and no caller waits for it, so a grant would
+    /// block the order for good.
+    fn is_already_abandoned(&self, holder: &OrderHolder) -> bool {
         self.holder.vm == holder.vm
             && self.holder.incarnation == holder.incarnation
             && holder.attempt <= self.holder.attempt
     }
 
-    /// What one that does not hold the order is told of it.
-    pub(crate) fn report(&self) -> OrderOutcome {
+    /// Returns the outcome for an attempt that doesn't hold the order.
+    pub(crate) fn outcome(&self) -> OrderOutcome {
         match &self.state {
             OrderState::Abandoned => OrderOutcome::Abandoned,
             OrderState::AnswerDropped => OrderOutcome::AnswerDropped,
--- a/crates/ebonystand-core/src/order/order_region.rs
+++ b/crates/ebonystand-core/src/order/order_region.rs
@@ -1,16 +1,17 @@
 use super::*;
 
-/// Region whose journal an order belongs to: the one that its key names, else `workspace`'s home.
+/// Returns the region whose journal holds an order: the region that the key names, or else the home
+/// of `workspace`.
 ///
-/// Each VM must come to the same region, or two journals would each grant the order once. So a
-/// region that the configuration does not have is refused: with the home in its stead, the key
-/// would move when that region is added. For the same reason a workspace's home must not change
+/// Every VM must find the same region, otherwise two journals could each grant the order once. A
+/// region that the configuration lacks is therefore rejected: with the home as a fallback, the key
+/// would move once that region was added. For the same reason a workspace's home must not change
 /// within [`OrderLimits::retention`] of its last order whose key names no region.
 ///
 /// # Errors
 ///
-/// [`OrderKeyError`] if the key is malformed, or its region is none of `regions` or outside the
-/// workspace's residency.
+/// Returns an [`OrderKeyError`] if the key is malformed, or if its region isn't in `regions` or is
+/// outside the workspace's residency.
 pub fn order_region(
     key: &str,
     workspace: &Workspace,
--- a/crates/ebonystand-core/src/order/order_reply.rs
+++ b/crates/ebonystand-core/src/order/order_reply.rs
@@ -1,25 +1,26 @@
 use super::*;
 
-/// What a caller is told of its order.
+/// Reply to the caller of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderReply {
-    /// The answer of the one run.
+    /// Answer of the only run of the order.
     Answer {
-        /// What the upstream answered.
+        /// Answer of the upstream.
         answer: OrderAnswer,
-        /// It comes from the journal: the order ran for an earlier request.
+        /// Whether the answer comes from the journal, that is, the order ran for an earlier
+        /// request.
         replayed: bool,
     },
-    /// No answer, and whether the order ran.
+    /// Refusal, which says whether the order ran.
     Refusal(Refusal),
 }
 
 impl OrderReply {
-    /// Time after which the answer of a running order is worth asking for.
+    /// Delay after which a caller may ask again for the answer of a running order.
     pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-    /// Reply to a request whose grant is not known when its time is up.
-    pub(crate) fn late() -> Self {
+    /// Returns the reply to a request whose grant is still unknown at its deadline.
+    pub(crate) fn deadline_passed() -> Self {
         Self::Refusal(
             Refusal::unknown(
                 RefusalCode::Deadline,
@@ -29,8 +30,9 @@
         )
     }
 
-    /// Reply that an outcome of a grant or an abandonment amounts to, if it settles the request.
-    pub(crate) fn of(outcome: &OrderOutcome) -> Option<Self> {
+    /// Returns the reply that follows from the outcome of a grant or an abandonment, if that
+    /// outcome settles the request.
+    pub(crate) fn from_outcome(outcome: &OrderOutcome) -> Option<Self> {
         let refusal = match outcome {
             OrderOutcome::Answered(answer) => {
                 return Some(Self::Answer {
@@ -67,7 +69,7 @@
             )
             .with_retry_after(Self::RETRY_AFTER),
             OrderOutcome::KeyFault(fault) => fault.refusal(),
-            OrderOutcome::Unknown => Self::unanswered(),
+            OrderOutcome::Unknown => Self::no_answer_refusal(),
             OrderOutcome::Granted
             | OrderOutcome::Pruned { .. }
             | OrderOutcome::Stale(_)
@@ -76,8 +78,8 @@
         Some(Self::Refusal(refusal))
     }
 
-    /// Refusal of a request whose order was sent without an answer.
-    pub(crate) fn unanswered() -> Refusal {
+    /// Returns the refusal of a request whose order was sent and got no answer.
+    pub(crate) fn no_answer_refusal() -> Refusal {
         Refusal::unknown(
             RefusalCode::OrderUnknown,
             "the order was sent and got no answer; it may have run and is never sent again",
--- a/crates/ebonystand-core/src/order/order_request.rs
+++ b/crates/ebonystand-core/src/order/order_request.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// An order as a caller asks a VM for it.
+/// Request of a caller for an order, as received by a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderRequest {
-    /// Wall clock when it came, in seconds since 1970.
+    /// Wall clock when the request arrived, in seconds since 1970.
     pub received_at: u64,
-    /// What it asks for.
+    /// Hash of the request's method, path and body.
     pub body_hash: BodyHash,
-    /// Last moment to send its first byte to an upstream. Leave time before `reply_by` for the
-    /// order to run, or for an abandonment to become durable.
+    /// Deadline for sending the first byte to an upstream. The time between it and `reply_by` must
+    /// suffice for the order to run, or for an abandonment to become durable.
     pub dispatch_by: Duration,
-    /// The order.
+    /// ID of the order.
     pub id: OrderId,
-    /// Moment by which the caller is answered.
+    /// Deadline for the reply to the caller.
     pub reply_by: Duration,
 }
--- a/crates/ebonystand-core/src/order/order_sort_key.rs
+++ b/crates/ebonystand-core/src/order/order_sort_key.rs
@@ -1,17 +1,18 @@
 use super::*;
 
-/// Place of an order in its journal, in the order in which records are forgotten.
+/// Sort key of an order in a journal: records with older keys are deleted first.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub(crate) struct OrderSortKey {
-    /// When the key was minted, in seconds since 1970; first, so that pruning splits off a range.
+    /// Mint time of the order key, in seconds since 1970. Must be the first field, so that pruning
+    /// can split off a range.
     pub(crate) minted: u64,
-    /// The order.
+    /// ID of the order.
     pub(crate) id: OrderId,
 }
 
 impl OrderSortKey {
-    /// Least slot of a time.
-    pub(crate) fn first(minted: u64) -> Self {
+    /// Returns the lowest sort key of a mint time.
+    pub(crate) fn first_at(minted: u64) -> Self {
         Self {
             id: OrderId {
                 key: Box::default(),
@@ -21,8 +22,8 @@
         }
     }
 
-    /// Slot of an order.
-    pub(crate) fn of(id: &OrderId) -> Result<Self, OrderKeyError> {
+    /// Returns the sort key of an order.
+    pub(crate) fn for_order(id: &OrderId) -> Result<Self, OrderKeyError> {
         Ok(Self {
             id: id.clone(),
             minted: OrderKeyParts::parse(&id.key)?.minted,
--- a/crates/ebonystand-core/src/order/order_stale_reason.rs
+++ b/crates/ebonystand-core/src/order/order_stale_reason.rs
@@ -1,15 +1,17 @@
-use super::*;
+use {super::*, derive_more::Debug};
 
-/// Why an [`OrderCommand`] changed nothing.
+/// Reason why an [`OrderCommand`] was rejected as stale.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum OrderStaleReason {
-    /// The holder has abandoned the order.
+    /// The order is abandoned.
     #[display("abandoned")]
     Abandoned,
-    /// Another one holds the order.
+    /// Another attempt holds the order.
     #[display("held by another")]
-    Holder,
-    /// The journal has no such order.
+    #[debug("Holder")]
+    #[serde(rename = "Holder")]
+    NotHolder,
+    /// The journal has no record of the order.
     #[display("no record")]
     Missing,
 }
--- a/crates/ebonystand-core/src/order/order_state.rs
+++ b/crates/ebonystand-core/src/order/order_state.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// How far an order has come.
+/// State of an order in its journal.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum OrderState {
-    /// Its last holder sent nothing; the next one to ask gets it.
+    /// The last holder sent nothing; the next attempt that asks gets the grant.
     Abandoned,
-    /// It ran; the answer is gone.
+    /// The order ran; its answer is no longer stored.
     AnswerDropped,
-    /// It ran, with this answer.
+    /// The order ran and got this answer.
     Answered(OrderAnswer),
-    /// Its holder may send it at any time, or has died.
+    /// The holder may send the order at any time, or has crashed.
     Granted,
-    /// Its holder sent it and got no answer.
+    /// The holder sent the order and got no answer.
     Unknown,
 }
--- a/crates/ebonystand-core/src/order_permit.rs
+++ b/crates/ebonystand-core/src/order_permit.rs
@@ -2,9 +2,9 @@
 
 /// Right to send one order once.
 ///
-/// Only an [`OrderDispatch`] makes it, from a grant that is durable, and never twice. It cannot
-/// be copied, and sending takes it: a VM cannot send an order without a grant, nor twice on one.
-/// A permit that is dropped leaves the order granted, and callers hear `unknown`.
+/// Only an [`OrderDispatch`] creates a permit, from a durable grant, and at most once. A permit
+/// can't be copied, and sending consumes it: a VM can't send an order without a grant or twice with
+/// one. If a permit is dropped, its order stays granted and callers get the run state `unknown`.
 #[derive(Debug)]
 #[must_use = "an order whose permit is dropped stays unknown for ever"]
 pub struct OrderPermit {
@@ -14,28 +14,28 @@
 }
 
 impl OrderPermit {
-    /// Gives it back unused.
+    /// Returns the permit unused.
     pub fn return_unused(self) -> UnsentOrder {
         UnsentOrder {
             holder: self.holder,
         }
     }
 
-    /// The order.
+    /// Returns the ID of the order.
     #[must_use]
     pub fn id(&self) -> &OrderId {
         &self.id
     }
 
-    /// Uses it, right before the first byte goes out.
+    /// Consumes the permit. Must be called immediately before the first byte is sent.
     ///
-    /// A process that was frozen after its grant reads the clock here and sends nothing past its
-    /// time. A freeze after this call cannot be seen: the order then goes out late, but still
-    /// once, since nobody else is granted it.
+    /// A process that was frozen after its grant checks the clock here and sends nothing after the
+    /// deadline. A freeze after this call goes unnoticed: the order is then sent late, but still
+    /// only once, since nobody else gets a grant for it.
     ///
     /// # Errors
     ///
-    /// [`UnsentOrder`] if it is too late to send.
+    /// Returns an [`UnsentOrder`] if the deadline for sending has passed.
     pub fn redeem(self, now: Duration) -> Result<InFlightOrder, UnsentOrder> {
         if now >= self.dispatch_by {
             return Err(self.return_unused());
--- a/crates/ebonystand-core/src/run_state.rs
+++ b/crates/ebonystand-core/src/run_state.rs
@@ -4,13 +4,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It has not run, and what was sent can no longer make it run.
+    /// The request has not run, and nothing that was sent can make it run later.
     #[display("not_run")]
     NotRun,
-    /// It ran to its end.
+    /// The request ran to its end.
     #[display("ran")]
     Ran,
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     #[display("unknown")]
     Unknown,
 }
--- a/crates/ebonystand-core/src/unsent_order.rs
+++ b/crates/ebonystand-core/src/unsent_order.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Proof that a granted order was not sent and never will be by its holder.
+/// Token of a granted order that its holder hasn't sent and will never send.
 #[derive(Debug)]
 #[must_use = "an order that is not abandoned stays unknown for ever"]
 pub struct UnsentOrder {
--- a/crates/ebonystand-core/tests/order_journal.rs
+++ b/crates/ebonystand-core/tests/order_journal.rs
@@ -1,4 +1,4 @@
-//! The journal of once-only orders, entry by entry.
+//! Tests of the journal of once-only orders, command by command.
 
 use {
     ebonystand_core::{
@@ -82,9 +82,9 @@
     }
 }
 
-/// A caller changes its order and sends it under the old key. Answered from the journal it would
-/// take the first order's number for the second's, so it gets a conflict, however far the first
-/// order is, and also where it gives up waiting and abandons.
+/// A caller changes its order and sends it under the old key. If the journal answered, the caller
+/// would take the first order's result for the second's. It must get a conflict at every stage of
+/// the first order, and also when it stops waiting and abandons.
 #[test]
 fn a_key_with_another_body_is_a_conflict() {
     let (mut journal, a, b) = (Fixture::default(), holder("a", 1, 1), holder("b", 1, 1));
@@ -97,8 +97,8 @@
     assert_eq!(journal.grant(B, &b, 2), Conflict);
 }
 
-/// The answer to a grant is lost and its VM asks again: it gets its grant. Another VM, and the
-/// same VM for another request or from another process, get none.
+/// The answer to a grant is lost and its VM asks again: it must get its grant. Another VM must get
+/// none, and neither must the same VM for another request or from another process.
 #[rstest]
 #[case::same_attempt(holder("a", 1, 1), Granted)]
 #[case::next_attempt(holder("a", 1, 2), AlreadyGranted)]
@@ -110,9 +110,9 @@
     assert_eq!(journal.grant(A, &asker, 1), want);
 }
 
-/// VM a abandons and is told so; VM b is granted the order and sends it; a's abandonment or
-/// answer comes a second time. Taken, the one would free the order while it runs, and the other
-/// would answer it with what b's upstream never said.
+/// VM a abandons an order, VM b is granted it and sends it, and then a duplicate of a's abandonment
+/// or answer arrives. Accepted, the abandonment would free the order while it runs, and the answer
+/// would be one that b's upstream never gave.
 #[test]
 fn only_the_holder_settles_an_order() {
     let (mut journal, a, b) = (Fixture::default(), holder("a", 1, 1), holder("b", 1, 1));
@@ -120,12 +120,12 @@
     journal.abandon(A, &a, 1);
     journal.grant(A, &b, 1);
     assert_eq!(journal.abandon(A, &a, 1), AlreadyGranted);
-    assert_eq!(journal.answer(A, &a, 1), Stale(OrderStaleReason::Holder));
+    assert_eq!(journal.answer(A, &a, 1), Stale(OrderStaleReason::NotHolder));
     assert_eq!(journal.grant(A, &holder("c", 1, 1), 1), AlreadyGranted);
 }
 
-/// A VM gives up before its grant arrives. The grant then comes late: granted, it would block the
-/// order for good, since nobody waits for it any more.
+/// A VM gives up before its grant arrives, and the request for the grant arrives late. Granted, it
+/// would block the order for good, since no caller waits for it any more.
 #[test]
 fn a_grant_behind_its_abandonment_is_stale() {
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
@@ -135,7 +135,8 @@
 }
 
 /// An order runs, its record is pruned, and its caller sends it again from a backup of its queue.
-/// The journal no longer knows the order, but its key is older than the floor.
+/// The journal no longer has a record of the order, but the key is older than the floor and must be
+/// rejected.
 #[test]
 fn pruning_never_makes_an_old_key_runnable() {
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
@@ -151,9 +152,9 @@
     assert_eq!(journal.grant(OLD, &holder("b", 1, 1), 1), Expired);
 }
 
-/// A caller asks again for an order of yesterday, a day after it made the key. Forgotten any sooner,
-/// the key would be refused although its caller may still rely on it; kept much longer, the journal
-/// would fill.
+/// A caller asks again for an order of yesterday, a day after it minted the key. If the record were
+/// deleted sooner, the key would be rejected although its caller may still rely on it; if it were
+/// kept much longer, the journal would fill up.
 #[rstest]
 #[case::a_day_old("1796166827-a", false)]
 #[case::a_second_older("1796166826-a", true)]
@@ -164,8 +165,8 @@
     assert_eq!(journal.0.prune_command(NOW).is_some(), is_pruned);
 }
 
-/// The clock of the VM that prunes jumps ten years ahead. Believed, it would expire each key that
-/// callers mint for ten years, so the floor stays behind the newest key that was granted.
+/// The clock of the VM that prunes jumps ten years ahead. Trusted, it would expire every key that
+/// callers mint for ten years. The floor must therefore stay behind the newest granted key.
 #[test]
 fn one_wrong_clock_expires_no_key_in_use() {
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
@@ -176,8 +177,8 @@
     assert_eq!(journal.grant(B, &vm, 1), Granted);
 }
 
-/// Records and stored answers are bounded, also within one workspace; an answer that goes leaves
-/// the fact that the order ran.
+/// Records and stored answers must be bounded, also within one workspace. After an answer is
+/// dropped, the journal must still know that the order ran.
 #[test]
 fn the_journal_stays_within_its_limits() {
     let limits = OrderLimits {
@@ -203,19 +204,20 @@
     }
 }
 
-/// A caller's clock is an hour ahead. Its keys would outlive retention by an hour, and years ahead
-/// by years, so the VM refuses them, and the journal too if the VM's clock is as wrong.
+/// A caller's clock is an hour ahead. Its keys would outlive their retention by an hour, or by
+/// years for a clock years ahead, so the VM must refuse them. The journal must refuse them too, in
+/// case the VM's clock is equally wrong.
 #[test]
 fn a_key_from_the_future_is_refused() {
     let key = format!("{}-a", NOW + 3_600);
     let outcome = Fixture::default().grant(&key, &holder("a", 1, 1), 1);
-    assert_eq!(outcome, KeyFault(OrderKeyError::Early));
+    assert_eq!(outcome, KeyFault(OrderKeyError::InFuture));
     let refusal = dispatch(&key, 1).expect_err("a refusal");
     assert_eq!(refusal.code, RefusalCode::BadHeader);
 }
 
-/// Two requests are permitted at one VM, and the daemon mixes up their tokens. Taken, the token of
-/// the one that was not sent would free the other's order while it runs.
+/// Two requests hold permits at one VM, and the daemon mixes up their tokens. If the token of the
+/// unsent order were accepted, it would free the other order while that runs.
 #[test]
 fn a_token_of_another_request_settles_nothing() {
     let mut dispatches = [(A, 1), (B, 2)].map(|(key, n)| dispatch(key, n).expect("a key"));
@@ -236,8 +238,8 @@
     assert_eq!(dispatches[0].record_unsent(Duration::ZERO, mine).len(), 1);
 }
 
-/// The first upstream takes no connection until the order's time is over. Sent to the next one, the
-/// order would run after its caller was told that it will not.
+/// The first upstream accepts no connection until the order's deadline has passed. Sent to the next
+/// upstream, the order would run after its caller was told that it won't.
 #[test]
 fn an_order_turns_to_no_other_upstream_past_its_time() {
     let mut order = dispatch(A, 1).expect("a key");
@@ -252,17 +254,17 @@
     assert_eq!(order.record_unsent(Duration::from_secs(1), unsent).len(), 1);
 }
 
-/// A key must come to the same journal in every region, or two journals would each grant it. A
-/// region that the configuration lacks is refused; the home in its stead would change later.
+/// Every region must find the same journal for a key, or two journals could each grant it. A region
+/// that the configuration lacks must be refused: the home as a fallback would change later.
 #[rstest]
 #[case::home("1796253227-a", Ok("utara"))]
 #[case::named("tengah/1796253227-a", Ok("tengah"))]
 #[case::outside("selatan/1796253227-a", Err(OrderKeyError::Residency { region: "selatan".into() }))]
 #[case::no_region("x/1796253227-a", Err(OrderKeyError::Region { region: "x".into() }))]
-#[case::no_time("a", Err(OrderKeyError::Form))]
-#[case::short_time("179625322-a", Err(OrderKeyError::Form))]
-#[case::no_name("1796253227-", Err(OrderKeyError::Form))]
-#[case::two_regions("tengah/utara/1796253227-a", Err(OrderKeyError::Form))]
+#[case::no_time("a", Err(OrderKeyError::Malformed))]
+#[case::short_time("179625322-a", Err(OrderKeyError::Malformed))]
+#[case::no_name("1796253227-", Err(OrderKeyError::Malformed))]
+#[case::two_regions("tengah/utara/1796253227-a", Err(OrderKeyError::Malformed))]
 fn an_order_belongs_to_one_region(#[case] key: &str, #[case] want: Result<&str, OrderKeyError>) {
     let regions = ["utara", "tengah", "selatan"].map(|region| (region.into(), Region::default()));
     let workspace = Workspace {
@@ -275,8 +277,9 @@
     assert_eq!(region, want.map(Into::into));
 }
 
-/// A VM dies between a grant and its answer, and starts anew. Callers hear at last that no answer
-/// will come; another VM's order and the new process's are left alone, and nothing is freed.
+/// A VM crashes between a grant and its answer, and restarts. Callers must learn that no answer
+/// will arrive. The orders of another VM and of the new process must stay as they are, and no order
+/// may be freed.
 #[test]
 fn orders_of_a_dead_process_become_unknown() {
     let mut journal = Fixture::default();
@@ -289,7 +292,7 @@
     assert_eq!(journal.grant(A, &holder("b", 1, 2), 1), Unknown);
 }
 
-/// A snapshot replaces the log behind it: a replica made from it must go on like the others.
+/// A snapshot replaces the log before it, so a replica restored from one must equal the others.
 #[test]
 fn a_snapshot_restores_the_journal() {
     let (mut journal, vm) = (Fixture::default(), holder("a", 1, 1));
--- a/crates/ebonystand-core/tests/order_matrix.rs
+++ b/crates/ebonystand-core/tests/order_matrix.rs
@@ -1,8 +1,8 @@
-//! Fault matrix of once-only orders: each fault at each step, and each pair of both with a second
-//! one behind it, over the product's journal and dispatch machine, many seeds each.
+//! Fault matrix of once-only orders: each fault at each step, and each pair of those, with many
+//! seeds each. Runs the product's journal and dispatch state machine.
 //!
-//! Requests for two orders come in over two VMs while one order's record is pruned. The observer
-//! counts what reaches the upstream, and knows nothing of grants.
+//! Requests for two orders arrive at two VMs while one order's record is pruned. The checks count
+//! what reaches the upstream and know nothing of grants.
 
 use {
     ebonystand_core::{
@@ -15,8 +15,9 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An enum whose variants make up a side of the matrix: a new one adds its cells by itself.
-macro_rules! side {
+/// Declares an enum that is one axis of the matrix, and lists its variants in `ALL`, so that a new
+/// variant adds its cells automatically.
+macro_rules! axis {
     ($name:ident { $($variant:ident),* $(,)? }) => {
         #[derive(Clone, Copy, Debug, Eq, PartialEq)]
         enum $name { $($variant),* }
@@ -27,7 +28,7 @@
     };
 }
 
-side!(Fault {
+axis!(Fault {
     Duplicate,
     Freeze,
     Kill,
@@ -35,7 +36,7 @@
     Lose,
     Reorder
 });
-side!(Step {
+axis!(Step {
     Abandon,
     Answer,
     Ask,
@@ -49,13 +50,13 @@
 const MINTED: u64 = 1_796_253_227;
 const SEEDS: u64 = 60;
 const HORIZON: Duration = Duration::from_secs(240);
-const LONG: Duration = Duration::from_secs(15);
+const LONG_DELAY: Duration = Duration::from_secs(15);
 
-/// Something that happens later.
+/// Scheduled event of the simulation.
 #[derive(Clone)]
 enum Event {
     Command(usize, OrderCommand),
-    Heard(usize, OrderAnswer),
+    AnswerArrived(usize, OrderAnswer),
     Outcome(usize, OrderOutcome),
     Prune,
     Request(usize),
@@ -63,7 +64,7 @@
     Wake(usize),
 }
 
-/// What the upstream saw, and which request sent it.
+/// Run of an order at the upstream, and the request that sent it.
 struct Run {
     body: u8,
     by: usize,
@@ -71,7 +72,7 @@
     in_time: bool,
 }
 
-/// A request at its VM; gone once its process is killed.
+/// Request at its VM; its state machine and tokens are lost when the process is killed.
 struct Request {
     body: u8,
     dispatch: Option<OrderDispatch>,
@@ -83,7 +84,7 @@
     vm: usize,
 }
 
-/// A VM; what reaches it while it is down is lost, and while it is frozen waits.
+/// Simulated VM. Events for it are lost while it is down and wait while it is frozen.
 struct Vm {
     down_until: Duration,
     frozen_until: Duration,
@@ -103,13 +104,15 @@
 struct World {
     events: BTreeMap<(Duration, u64), Event>,
     journal: OrderJournal,
+    /// Whether any process was killed; its requests need no reply.
     killed: bool,
     now: Duration,
     plan: Plan,
     requests: Vec<Request>,
     rng: Pcg64Mcg,
-    /// What the upstream ran, in its order.
+    /// Runs at the upstream, in order.
     runs: Vec<Run>,
+    /// Number of events scheduled so far, which orders events at the same time.
     serial: u64,
     vms: [Vm; 2],
 }
@@ -135,13 +138,13 @@
         (0..10).for_each(|i| world.add_request(i));
         for _ in 0..2 {
             let prune = world.millis(4_000..20_000);
-            world.after(prune, Event::Prune);
+            world.schedule(prune, Event::Prune);
         }
         world
     }
 
-    /// Requests for two orders; the second key is newer, so that pruning may forget the first.
-    /// Now and then a request brings another body.
+    /// Adds a request for one of two orders. The second order's key is newer, so that pruning may
+    /// delete the first one. Some requests carry another body.
     fn add_request(&mut self, i: usize) {
         let order = u64::from(self.rng.random_bool(0.3));
         self.requests.push(Request {
@@ -158,10 +161,10 @@
             vm: self.rng.random_range(0..2),
         });
         let at = self.millis(0..15_000);
-        self.after(at, Event::Request(i));
+        self.schedule(at, Event::Request(i));
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
+    fn schedule(&mut self, wait: Duration, event: Event) {
         self.serial += 1;
         self.events.insert((self.now + wait, self.serial), event);
     }
@@ -170,35 +173,35 @@
         Duration::from_millis(self.rng.random_range(range))
     }
 
-    fn network(&mut self, event: Event) {
+    fn send_over_network(&mut self, event: Event) {
         let wait = self.millis(1..60);
-        self.after(wait, event);
+        self.schedule(wait, event);
     }
 
-    /// Injects the next fault of the plan if this is its step.
-    fn at(&mut self, step: Step, vm: usize) {
+    /// Injects the next fault of the plan if it belongs to this step.
+    fn inject_fault(&mut self, step: Step, vm: usize) {
         if self.plan.first().is_none_or(|(_, at)| *at != step) {
             return;
         }
         let (fault, _) = self.plan.remove(0);
         match fault {
-            Fault::Freeze => self.vms[vm].frozen_until = self.now + LONG,
+            Fault::Freeze => self.vms[vm].frozen_until = self.now + LONG_DELAY,
             Fault::Kill => self.kill(vm),
             Fault::Duplicate | Fault::LateAnswer | Fault::Lose | Fault::Reorder => {
-                self.disturb(fault);
+                self.disturb_messages(fault);
             }
         }
     }
 
-    /// Changes what is on the network right now.
-    fn disturb(&mut self, fault: Fault) {
-        let on_way = |event: &Event| matches!(event, Event::Command(..) | Event::Outcome(..));
-        let keys = self.events.iter().filter(|(_, event)| on_way(event));
+    /// Drops, delays or duplicates the messages that are in flight.
+    fn disturb_messages(&mut self, fault: Fault) {
+        let is_in_flight = |event: &Event| matches!(event, Event::Command(..) | Event::Outcome(..));
+        let keys = self.events.iter().filter(|(_, event)| is_in_flight(event));
         for key in keys.map(|(key, _)| *key).collect::<Vec<_>>() {
             let event = self.events[&key].clone();
             let wait = match fault {
                 Fault::Duplicate => Some(self.millis(0..20_000)),
-                Fault::LateAnswer => Some(LONG),
+                Fault::LateAnswer => Some(LONG_DELAY),
                 Fault::Reorder => Some(self.millis(0..3_000)),
                 Fault::Freeze | Fault::Kill | Fault::Lose => None,
             };
@@ -206,7 +209,7 @@
                 self.events.remove(&key);
             }
             if let Some(wait) = wait {
-                self.after(wait, event);
+                self.schedule(wait, event);
             }
         }
     }
@@ -227,7 +230,7 @@
             }
             self.now = at;
             let vm = match &event {
-                Event::Heard(i, _)
+                Event::AnswerArrived(i, _)
                 | Event::Outcome(i, _)
                 | Event::Request(i)
                 | Event::Send(i)
@@ -235,44 +238,44 @@
                 _ => None,
             };
             match vm.map(|vm| &self.vms[vm]) {
-                Some(vm) if vm.frozen_until > at => self.after(vm.frozen_until - at, event),
+                Some(vm) if vm.frozen_until > at => self.schedule(vm.frozen_until - at, event),
                 Some(vm) if vm.down_until > at => {}
-                _ => self.happen(event),
+                _ => self.handle(event),
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Command(i, command) => self.apply(i, &command),
-            Event::Heard(i, answer) => self.heard(i, answer),
+            Event::AnswerArrived(i, answer) => self.receive_answer(i, answer),
             Event::Outcome(i, outcome) => {
-                self.drive(i, |dispatch, now| dispatch.handle_outcome(now, &outcome));
+                self.drive(i, |order, now| order.handle_outcome(now, &outcome));
             }
             Event::Prune => {
                 let floor = MINTED + 1;
                 self.journal.apply(&OrderCommand::Prune { floor });
                 let vm = self.rng.random_range(0..2);
-                self.at(Step::Prune, vm);
+                self.inject_fault(Step::Prune, vm);
             }
-            Event::Request(i) => self.request(i),
+            Event::Request(i) => self.start_request(i),
             Event::Send(i) => self.send(i),
             Event::Wake(i) => self.drive(i, OrderDispatch::poll),
         }
     }
 
-    /// The journal's group commits a command; its state goes through a snapshot each time.
+    /// Commits a command and restores the journal from a snapshot each time.
     fn apply(&mut self, i: usize, command: &OrderCommand) {
         let outcome = self.journal.apply(command);
         let bytes = postcard::to_stdvec(&self.journal).expect("a journal can be written");
         self.journal = postcard::from_bytes(&bytes).expect("and read");
-        self.network(Event::Outcome(i, outcome));
+        self.send_over_network(Event::Outcome(i, outcome));
         if matches!(command, OrderCommand::Grant { .. }) {
-            self.at(Step::Grant, self.requests[i].vm);
+            self.inject_fault(Step::Grant, self.requests[i].vm);
         }
     }
 
-    /// Calls a request's machine, if its process lives, and does what it asks for.
+    /// Calls the state machine of a request if its process is running, and performs the actions.
     fn drive(
         &mut self,
         i: usize,
@@ -283,20 +286,20 @@
             return;
         };
         let actions = call(dispatch, now);
-        if let Some(wake) = dispatch.next_poll().filter(|wake| *wake < HORIZON) {
-            self.after(wake.saturating_sub(now), Event::Wake(i));
+        if let Some(wake) = dispatch.poll_at().filter(|wake| *wake < HORIZON) {
+            self.schedule(wake.saturating_sub(now), Event::Wake(i));
         }
         for action in actions {
-            self.act(i, action);
+            self.perform(i, action);
         }
     }
 
-    fn act(&mut self, i: usize, action: OrderAction) {
+    fn perform(&mut self, i: usize, action: OrderAction) {
         let command = match action {
             OrderAction::Dispatch(permit) => {
                 self.requests[i].permit = Some(permit);
                 let wait = self.millis(0..100);
-                return self.after(wait, Event::Send(i));
+                return self.schedule(wait, Event::Send(i));
             }
             OrderAction::Propose(command) => command,
             OrderAction::Reply(reply) => return self.requests[i].replies.push(reply),
@@ -307,13 +310,13 @@
             OrderCommand::Grant { .. } => Some(Step::Ask),
             OrderCommand::MarkUnknown { .. } | OrderCommand::Prune { .. } => None,
         };
-        self.network(Event::Command(i, command));
+        self.send_over_network(Event::Command(i, command));
         if let Some(step) = step {
-            self.at(step, self.requests[i].vm);
+            self.inject_fault(step, self.requests[i].vm);
         }
     }
 
-    fn request(&mut self, i: usize) {
+    fn start_request(&mut self, i: usize) {
         let req = &mut self.requests[i];
         req.dispatch_by = self.now + Duration::from_secs(2);
         let order = OrderRequest {
@@ -329,20 +332,18 @@
         self.drive(i, OrderDispatch::poll);
     }
 
-    /// Uses the permit, or gives it back as after a connection that could not be opened.
+    /// Uses the permit, or returns it as after a connection that couldn't be opened.
     fn send(&mut self, i: usize) {
         let Some(permit) = self.requests[i].permit.take() else {
             return;
         };
         if self.rng.random_bool(0.3) {
             let unsent = permit.return_unused();
-            return self.drive(i, |dispatch, now| dispatch.record_unsent(now, unsent));
+            return self.drive(i, |order, now| order.record_unsent(now, unsent));
         }
         let sending = match permit.redeem(self.now) {
             Ok(sending) => sending,
-            Err(unsent) => {
-                return self.drive(i, |dispatch, now| dispatch.record_unsent(now, unsent));
-            }
+            Err(unsent) => return self.drive(i, |order, now| order.record_unsent(now, unsent)),
         };
         self.requests[i].sending = Some(sending);
         let (id, body) = (self.requests[i].id.clone(), self.requests[i].body);
@@ -359,25 +360,25 @@
             in_time,
         });
         let wait = self.millis(1..2_000);
-        self.after(wait, Event::Heard(i, answer));
-        self.at(Step::Dispatch, self.requests[i].vm);
+        self.schedule(wait, Event::AnswerArrived(i, answer));
+        self.inject_fault(Step::Dispatch, self.requests[i].vm);
     }
 
-    /// The upstream's answer arrives, or its connection breaks first.
-    fn heard(&mut self, i: usize, answer: OrderAnswer) {
+    /// Delivers the upstream's answer, or breaks the connection first.
+    fn receive_answer(&mut self, i: usize, answer: OrderAnswer) {
         let Some(sending) = self.requests[i].sending.take() else {
             return;
         };
         if self.rng.random_bool(0.2) {
-            return self.drive(i, |dispatch, now| dispatch.record_no_answer(now, sending));
+            return self.drive(i, |order, now| order.record_no_answer(now, sending));
         }
         self.drive(i, |dispatch, now| {
             dispatch.record_answer(now, sending, answer)
         });
     }
 
-    /// The first broken promise.
-    fn broken(&self) -> Option<String> {
+    /// Returns a description of the first violated guarantee.
+    fn violated_promise(&self) -> Option<String> {
         let runs_of = |id: &OrderId| self.runs.iter().filter(|run| run.id == *id).count();
         if self.runs.iter().any(|run| !run.in_time) {
             return Some("an order was sent after its time".into());
@@ -391,12 +392,12 @@
             }
             match req.replies.first() {
                 Some(OrderReply::Answer { answer, .. }) => {
-                    let told = |(n, run): (usize, &Run)| {
+                    let is_own_answer = |(n, run): (usize, &Run)| {
                         run.id == req.id
                             && run.body == req.body
                             && answer.body == format!("{} {} {n}", run.id, run.body)
                     };
-                    if !self.runs.iter().enumerate().any(told) {
+                    if !self.runs.iter().enumerate().any(is_own_answer) {
                         return Some(format!("request {i} got another one's answer"));
                     }
                 }
@@ -414,14 +415,14 @@
     }
 }
 
-/// Runs one cell over all seeds; in how many the faults struck.
-fn cell(plan: &Plan) -> u64 {
+/// Runs one cell with all seeds. Returns the number of seeds in which all faults were injected.
+fn run_cell(plan: &Plan) -> u64 {
     let mut struck = 0;
     for seed in 0..SEEDS {
         let mut world = World::new(plan.clone(), seed);
         world.run();
-        if let Some(broken) = world.broken() {
-            panic!("cell {plan:?} seed {seed} (cargo test --test order_matrix): {broken}");
+        if let Some(violation) = world.violated_promise() {
+            panic!("cell {plan:?} seed {seed} (cargo test --test order_matrix): {violation}");
         }
         struck += u64::from(world.plan.is_empty());
     }
@@ -433,22 +434,23 @@
     Fault::ALL.iter().copied().flat_map(at)
 }
 
-/// A caller sends its order over two VMs, again and again, while one fault strikes at one step.
-/// However the grant, the sending and the answer are cut apart, the upstream sees it once.
+/// A caller sends its order over two VMs again and again while one fault occurs at one step.
+/// However the fault separates the grant, the request and the answer, the upstream must receive the
+/// order at most once.
 #[test]
 fn a_fault_at_any_step_breaks_no_promise() {
     for fault in faults() {
-        let struck = cell(&vec![fault]);
+        let struck = run_cell(&vec![fault]);
         println!("{fault:?}: struck in {struck} of {SEEDS} seeds");
         assert!(struck > 0, "{fault:?} never strikes");
     }
 }
 
-/// The same with a second fault at a later step, before what the first one upset has settled.
+/// The same with a second fault at a later step, before the system has recovered from the first.
 #[test]
 fn a_second_fault_breaks_no_promise_either() {
     let plans = faults().flat_map(|first| faults().map(move |second| vec![first, second]));
-    let struck: Vec<u64> = plans.map(|plan| cell(&plan)).collect();
+    let struck: Vec<u64> = plans.map(|plan| run_cell(&plan)).collect();
     let reached = struck.iter().filter(|struck| **struck > 0).count();
     println!(
         "{} pairs, {reached} reached, {SEEDS} seeds each",
@@ -457,13 +459,14 @@
     assert_eq!(reached, struck.len());
 }
 
-/// Without a fault no request waits out its time, whatever its callers and upstream do.
+/// Without a fault, every request must be settled before its deadline, whatever its callers and the
+/// upstream do.
 #[test]
 fn without_a_fault_each_request_is_settled_in_time() {
     for seed in 0..SEEDS {
         let mut world = World::new(Plan::new(), seed);
         world.run();
-        assert_eq!(world.broken(), None, "seed {seed}");
+        assert_eq!(world.violated_promise(), None, "seed {seed}");
         let late = |reply: &OrderReply| {
             matches!(reply, OrderReply::Refusal(refusal)
                 if refusal.code == RefusalCode::Deadline && refusal.run == RunState::Unknown)
--- a/crates/ebonystand-core/tests/order_model.rs
+++ b/crates/ebonystand-core/tests/order_model.rs
@@ -1,9 +1,10 @@
-//! Model check of a small specification of the once-only order, apart from the product's code.
+//! Model check of a small specification of the once-only order, independent of the product's code.
 //!
-//! Two VMs, one order, up to three requests with two bodies, two crashes with restarts, and
-//! pruning at any time. A message stays on the network for ever and may be taken at any time: that covers
-//! loss, duplicates, reordering and lateness. A freeze is a VM that does nothing while others act;
-//! the model lets a VM dispatch however late, so the bound of one does not rest on a deadline.
+//! The model has two VMs, one order, up to three requests with two bodies, two crashes with
+//! restarts, and pruning at any time. A message stays on the network for ever and may be delivered
+//! at any time, which covers loss, duplication, reordering and delay. A freeze is a VM that does
+//! nothing while others act; the model lets a VM send however late, so the bound of one run doesn't
+//! depend on a deadline.
 
 use {pathfinding::prelude::bfs, rstest::rstest, std::cell::Cell};
 
@@ -11,19 +12,30 @@
 const CRASHES: u8 = 2;
 const VMS: u8 = 2;
 
+/// Rule of the protocol that can be disabled in the model.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Safeguard {
+    /// Only the holder of an order may abandon it.
     AbandonByHolder,
+    /// A request with another body than the recorded one gets a conflict.
     BodyHash,
+    /// A grant is answered only once it is durable.
     DurableFirst,
+    /// A restarted process has a new incarnation.
     FreshIncarnation,
+    /// A request that has given up ignores a grant that arrives late.
     LateGrant,
+    /// A caller is told `not_run` only once the abandonment is recorded.
     NotRunAfterAbandoned,
+    /// A request gets at most one permit, even if its grant arrives twice.
     OnePermit,
+    /// A key whose record may have been pruned is rejected.
     PruneFloor,
+    /// A granted order isn't granted to another holder, even if its holder seems dead.
     UnknownAfterDeath,
 }
 
+/// Phase of a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Phase {
     Abandoning,
@@ -43,7 +55,7 @@
     Unknown,
 }
 
-/// A request; `holder` is what the journal compares.
+/// Request of a caller; `holder` is what the journal compares: VM, incarnation and attempt.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Request {
     body: u8,
@@ -53,16 +65,17 @@
     reply: Option<Reply>,
 }
 
+/// State of an order in the journal.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Held {
+enum RecordState {
     Abandoned,
     Answered(u8),
     Granted,
     Unknown,
 }
 
-/// What the journal knows: who holds the order, for which body.
-type Record = Option<((u8, u8, u8), u8, Held)>;
+/// Record of the journal: the holder, the body and the state of the order.
+type Record = Option<((u8, u8, u8), u8, RecordState)>;
 
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 struct Vm {
@@ -71,13 +84,14 @@
     incarnation: u8,
 }
 
-/// Commands on their way to the journal, as bits.
+/// Bits of the commands in flight to the journal.
 const ABANDON: u8 = 1;
 const ANSWER: u8 = 2;
 const GRANT: u8 = 4;
 const MARK_UNKNOWN: u8 = 8;
 
-/// Outcomes on their way to a request, as bits; from `ANSWERED` on, one for each answer.
+/// Bits of the outcomes in flight to a request; from `ANSWERED` on, one bit for the answer of each
+/// request.
 const ABANDONED: u8 = 1;
 const GRANTED: u8 = 2;
 const OTHER: u8 = 4;
@@ -96,29 +110,30 @@
     vms: [Vm; VMS as usize],
 }
 
+/// Model of the protocol, with at most one safeguard disabled.
 struct Model {
     off: Option<Safeguard>,
 }
 
 impl Model {
-    fn has(&self, safeguard: Safeguard) -> bool {
+    fn is_on(&self, safeguard: Safeguard) -> bool {
         self.off != Some(safeguard)
     }
 
-    /// The journal applies a command of request `i`; bits of what it answers.
+    /// Applies a command of request `i` to the journal. Returns the bits of the outcome.
     fn apply(&self, s: &mut State, i: usize, command: u8) -> u8 {
         let Some(req) = s.requests[i] else { return 0 };
         let Some((holder, body, held)) = s.record else {
-            if s.floor && self.has(Safeguard::PruneFloor) {
+            if s.floor && self.is_on(Safeguard::PruneFloor) {
                 return OTHER;
             }
             return match command {
                 ABANDON => {
-                    s.record = Some((req.holder, req.body, Held::Abandoned));
+                    s.record = Some((req.holder, req.body, RecordState::Abandoned));
                     ABANDONED
                 }
                 GRANT => {
-                    s.record = Some((req.holder, req.body, Held::Granted));
+                    s.record = Some((req.holder, req.body, RecordState::Granted));
                     GRANTED
                 }
                 _ => OTHER,
@@ -126,38 +141,38 @@
         };
         let mine = holder == req.holder;
         match (command, held) {
-            (ABANDON | GRANT, _) if body != req.body && self.has(Safeguard::BodyHash) => CONFLICT,
-            (GRANT, Held::Abandoned) if !mine => {
-                s.record = Some((req.holder, req.body, Held::Granted));
+            (ABANDON | GRANT, _) if body != req.body && self.is_on(Safeguard::BodyHash) => CONFLICT,
+            (GRANT, RecordState::Abandoned) if !mine => {
+                s.record = Some((req.holder, req.body, RecordState::Granted));
                 GRANTED
             }
-            (GRANT, Held::Granted) if mine => GRANTED,
-            (GRANT, Held::Granted) if !self.has(Safeguard::UnknownAfterDeath) => {
-                s.record = Some((req.holder, req.body, Held::Granted));
+            (GRANT, RecordState::Granted) if mine => GRANTED,
+            (GRANT, RecordState::Granted) if !self.is_on(Safeguard::UnknownAfterDeath) => {
+                s.record = Some((req.holder, req.body, RecordState::Granted));
                 GRANTED
             }
-            (ABANDON, Held::Abandoned) => ABANDONED,
-            (ABANDON, Held::Granted | Held::Unknown)
-                if mine || !self.has(Safeguard::AbandonByHolder) =>
+            (ABANDON, RecordState::Abandoned) => ABANDONED,
+            (ABANDON, RecordState::Granted | RecordState::Unknown)
+                if mine || !self.is_on(Safeguard::AbandonByHolder) =>
             {
-                s.record = Some((holder, body, Held::Abandoned));
+                s.record = Some((holder, body, RecordState::Abandoned));
                 ABANDONED
             }
-            (ANSWER, Held::Granted | Held::Unknown) if mine => {
-                s.record = Some((holder, body, Held::Answered(i as u8)));
+            (ANSWER, RecordState::Granted | RecordState::Unknown) if mine => {
+                s.record = Some((holder, body, RecordState::Answered(i as u8)));
                 OTHER
             }
-            (MARK_UNKNOWN, Held::Granted) if mine => {
-                s.record = Some((holder, body, Held::Unknown));
+            (MARK_UNKNOWN, RecordState::Granted) if mine => {
+                s.record = Some((holder, body, RecordState::Unknown));
                 OTHER
             }
-            (ABANDON | GRANT, Held::Answered(by)) => ANSWERED << by,
+            (ABANDON | GRANT, RecordState::Answered(by)) => ANSWERED << by,
             _ => OTHER,
         }
     }
 
-    /// Request `i` takes an outcome, if its process still lives.
-    fn take(&self, s: &mut State, i: usize, outcome: u8) {
+    /// Delivers an outcome to request `i`, if its process is running.
+    fn deliver(&self, s: &mut State, i: usize, outcome: u8) {
         let Some(req) = &mut s.requests[i] else {
             return;
         };
@@ -166,8 +181,8 @@
             let late = matches!(req.phase, Phase::Abandoning | Phase::Closed);
             let again = matches!(req.phase, Phase::Sent);
             if req.phase == Phase::Asking
-                || late && !self.has(Safeguard::LateGrant)
-                || again && !self.has(Safeguard::OnePermit)
+                || late && !self.is_on(Safeguard::LateGrant)
+                || again && !self.is_on(Safeguard::OnePermit)
             {
                 req.phase = Phase::Permitted;
             }
@@ -208,7 +223,7 @@
             for outcome in (0..8).map(|bit| 1 << bit) {
                 if s.outcomes[i] & outcome != 0 {
                     with(&|s| {
-                        self.take(s, i, outcome);
+                        self.deliver(s, i, outcome);
                         propose(s, i);
                     });
                 }
@@ -221,20 +236,22 @@
             }
         }
         with(&|s| (s.floor, s.record) = (true, None));
-        // Its holder is taken for dead, rightly or not.
-        if let Some((holder, body, Held::Granted)) = s.record {
-            with(&|s| s.record = Some((holder, body, Held::Unknown)));
+        // The journal marks the order as unknown because its holder is presumed dead, rightly or
+        // not.
+        if let Some((holder, body, RecordState::Granted)) = s.record {
+            with(&|s| s.record = Some((holder, body, RecordState::Unknown)));
         }
-        if self.has(Safeguard::DurableFirst) {
+        if self.is_on(Safeguard::DurableFirst) {
             return next;
         }
-        // The grant was answered before it was durable: its leader is lost with it.
+        // The grant was answered before it was durable, and is lost together with the leader.
         with(&|s| s.record = s.durable);
         with(&|s| s.durable = s.record);
         next
     }
 
-    /// What a request does without a message: its time is up, it sends, hears its upstream or not.
+    /// Lets request `i` act without a message: its time runs out, it sends, or its upstream answers
+    /// or not.
     fn step(&self, s: &mut State, i: usize, event: u8) {
         let Some(req) = &mut s.requests[i] else {
             return;
@@ -242,7 +259,7 @@
         match (req.phase, event) {
             (Phase::Asking | Phase::Permitted, 0) => {
                 req.phase = Phase::Abandoning;
-                if !self.has(Safeguard::NotRunAfterAbandoned) {
+                if !self.is_on(Safeguard::NotRunAfterAbandoned) {
                     req.reply = Some(Reply::NotRun);
                     req.phase = Phase::Asking;
                 }
@@ -268,7 +285,7 @@
             return;
         };
         let process = &mut s.vms[usize::from(vm)];
-        // VMs and bodies are alike: the first request takes the first of each.
+        // VMs and bodies are interchangeable, so the first request always uses the first of each.
         if process.down || i == 0 && (vm, body) != (0, 0) {
             return;
         }
@@ -289,15 +306,16 @@
         if !process.down {
             return;
         }
-        let fresh = u8::from(self.has(Safeguard::FreshIncarnation));
+        let fresh = u8::from(self.is_on(Safeguard::FreshIncarnation));
         *process = Vm {
             incarnation: process.incarnation + fresh,
             ..Vm::default()
         };
     }
 
-    /// Searches all states; the shortest way to a broken one, and how many states it saw.
-    fn search(&self, broken: fn(&State) -> bool) -> (Option<Vec<State>>, usize) {
+    /// Searches all reachable states. Returns a shortest path to a state that matches, if there is
+    /// one, and the number of states visited.
+    fn search(&self, breaks_promise: fn(&State) -> bool) -> (Option<Vec<State>>, usize) {
         let seen = Cell::new(0);
         let path = bfs(
             &State::default(),
@@ -305,7 +323,7 @@
                 seen.set(seen.get() + 1);
                 self.successors(s)
             },
-            broken,
+            breaks_promise,
         );
         (path, seen.get())
     }
@@ -335,9 +353,9 @@
     s.commands[i] |= command;
 }
 
-/// The order ran twice, a caller was told `not_run` of a request that ran, or a caller got the
-/// answer to another body than its own.
-fn broken(s: &State) -> bool {
+/// Returns whether the order ran twice, a caller was told `not_run` for a request that ran, or a
+/// caller got the answer to another body than its own.
+fn breaks_promise(s: &State) -> bool {
     let requests = || s.requests.iter().flatten();
     requests().map(|req| req.runs).sum::<u8>() > 1
         || requests().any(|req| match req.reply {
@@ -348,17 +366,17 @@
         })
 }
 
-/// No state within the bound breaks a promise.
+/// No reachable state within the bounds may violate a guarantee.
 #[test]
 fn an_order_runs_at_most_once_and_is_told_truly() {
-    let (path, seen) = Model { off: None }.search(broken);
+    let (path, seen) = Model { off: None }.search(breaks_promise);
     println!("once-only order: {seen} states, {REQUESTS} requests, {VMS} VMs, {CRASHES} crashes");
     assert_eq!(path, None);
     assert!(seen > 100_000, "the model is too small: {seen} states");
 }
 
-/// The model is not empty: an order that its first VM abandoned runs through the second one, and
-/// a third request gets the stored answer.
+/// The model isn't vacuous: an order that its first VM abandoned runs through the second one, and a
+/// third request gets the stored answer.
 #[test]
 fn an_abandoned_order_runs_and_its_answer_is_told_again() {
     let (path, seen) = Model { off: None }.search(|s| {
@@ -373,7 +391,7 @@
     assert!(path.is_some(), "not reached in {seen} states");
 }
 
-/// Each safeguard is needed: without it the search finds a broken promise.
+/// Each safeguard is necessary: with it disabled, the search must find a violated guarantee.
 #[rstest]
 fn each_safeguard_is_needed(
     #[values(
@@ -389,7 +407,7 @@
     )]
     off: Safeguard,
 ) {
-    let (path, seen) = Model { off: Some(off) }.search(broken);
+    let (path, seen) = Model { off: Some(off) }.search(breaks_promise);
     let path = path.unwrap_or_else(|| panic!("{off:?} is not needed in {seen} states"));
     println!(
         "without {off:?}: broken in {} steps, {seen} states",
--- a/crates/ebonystand/src/order_controller.rs
+++ b/crates/ebonystand/src/order_controller.rs
@@ -129,9 +129,7 @@
             for action in actions {
                 self.act(action);
             }
-            let Some(wake) = order.next_poll() else {
-                return;
-            };
+            let Some(wake) = order.poll_at() else { return };
             let now = self.node.clock.now();
             let wait = wake.saturating_sub(now).min(OrderDispatch::SETTLE_TIMEOUT);
             tokio::select! {
