--- a/crates/ebonystand-core/src/durable_state.rs
+++ b/crates/ebonystand-core/src/durable_state.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// State of a replica that survives a restart.
+/// Durable state of a replica, which survives a restart.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DurableState {
     /// Entries after the snapshot, without a gap.
--- a/crates/ebonystand-core/src/group_status.rs
+++ b/crates/ebonystand-core/src/group_status.rs
@@ -9,7 +9,7 @@
     pub group: Box<str>,
     /// VM of the leader, if it is known.
     pub leader: Option<VmId>,
-    /// Status of each member.
+    /// Status of each member of the group.
     pub members: Vec<GroupMemberStatus>,
     /// Current term.
     pub term: u64,
--- a/crates/ebonystand-core/src/in_flight_order.rs
+++ b/crates/ebonystand-core/src/in_flight_order.rs
@@ -2,7 +2,7 @@
 
 /// Token of an order that may be on its way to an upstream.
 #[derive(Debug)]
-#[must_use = "an order whose outcome is not told stays unknown for ever"]
+#[must_use = "an order whose outcome is not recorded stays unknown for ever"]
 pub struct InFlightOrder {
     pub(crate) dispatch_by: Duration,
     pub(crate) holder: OrderHolder,
--- a/crates/ebonystand-core/src/log_payload.rs
+++ b/crates/ebonystand-core/src/log_payload.rs
@@ -7,7 +7,8 @@
     Command(Bytes),
     /// Membership of the group from this entry on.
     Members(Membership),
-    /// First entry of a new leader. Once it is committed, so are all entries before it.
+    /// Empty entry that a new leader appends first. Once it is committed, so are all entries before
+    /// it.
     Noop,
 }
 
--- a/crates/ebonystand-core/src/member_change.rs
+++ b/crates/ebonystand-core/src/member_change.rs
@@ -6,8 +6,8 @@
     /// Adds a replica as a learner, which receives the log but counts in no majority, and removes
     /// any other learner on the same VM. The leader promotes the learner once it has caught up.
     Admit(MemberId),
-    /// Makes a learner that has caught up a voter.
+    /// Turns a learner that has caught up into a voter.
     Promote(MemberId),
-    /// Removes a replica.
+    /// Removes a replica from the group.
     Remove(MemberId),
 }
--- a/crates/ebonystand-core/src/order/order_dispatch.rs
+++ b/crates/ebonystand-core/src/order/order_dispatch.rs
@@ -89,7 +89,7 @@
         &self.holder
     }
 
-    /// Returns whether the state machine needs no further calls.
+    /// Returns whether this request has finished and needs no further calls.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.phase == OrderPhase::Closed
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Carries out what is due at `now`: replies, abandons or proposes a command again.
+    /// Handles the deadlines and resends that are due at `now`.
     pub fn poll(&mut self, now: Duration) -> Vec<OrderAction> {
         let mut actions = Vec::new();
         if now >= self.req.reply_by {
--- a/crates/ebonystand-core/src/order/order_key_parts.rs
+++ b/crates/ebonystand-core/src/order/order_key_parts.rs
@@ -18,18 +18,18 @@
 }
 
 impl<'a> OrderKeyParts<'a> {
-    /// Maximum length of a name in bytes.
+    /// Maximum length of an order's name in bytes.
     pub const MAX_NAME_LEN: usize = 128;
-    /// Maximum length of a region in bytes.
+    /// Maximum length of a region's name in bytes.
     pub const MAX_REGION_LEN: usize = 64;
     /// Number of digits of the time; covers the years 2001 to 2286.
     pub const SECONDS_LEN: usize = 10;
 
-    /// Parses a key.
+    /// Parses an order key.
     ///
     /// # Errors
     ///
-    /// Returns [`OrderKeyError::Malformed`] if the key doesn't have this form.
+    /// Returns [`OrderKeyError::Malformed`] if the key isn't of the form `[REGION/]SECONDS-NAME`.
     pub fn parse(key: &'a str) -> Result<Self, OrderKeyError> {
         let (region, rest) = match key.split_once('/') {
             Some((region, rest)) => (Some(region), rest),
--- a/crates/ebonystand-core/src/order/order_outcome.rs
+++ b/crates/ebonystand-core/src/order/order_outcome.rs
@@ -11,11 +11,12 @@
     AnswerDropped,
     /// The order ran and got this answer.
     Answered(OrderAnswer),
-    /// The key was used with another body.
+    /// An order with the same key and another body is recorded already.
     Conflict,
     /// The key was minted before the floor; what happened to its order is no longer known.
     Expired,
-    /// The journal has reached its limit of records; the holder has no grant.
+    /// The journal, or the part of it that the workspace may use, has no room for another record;
+    /// the holder has no grant.
     Full,
     /// The holder, and no other, may send the order.
     Granted,
--- a/crates/ebonystand-core/src/replica/replica_message_body.rs
+++ b/crates/ebonystand-core/src/replica/replica_message_body.rs
@@ -7,7 +7,7 @@
     Append {
         /// Commit index of the leader.
         commit: LogIndex,
-        /// Entries that follow `previous`.
+        /// Log entries to append after `previous`.
         entries: Vec<LogEntry>,
         /// Position of the entry before `entries`.
         previous: LogPosition,
@@ -18,7 +18,8 @@
     AppendReply {
         /// Whether the logs agree.
         outcome: AppendOutcome,
-        /// Value of `sent` in the message that this is a reply to.
+        /// Leader's clock when it sent the message that this is a reply to, copied from that
+        /// message.
         sent: Duration,
     },
     /// Reply to `Join` of a replica whose own log is empty.
@@ -51,7 +52,7 @@
         position: LogPosition,
         /// Number of bytes of the snapshot received so far.
         received: u64,
-        /// Value of `sent` in the message that this is a reply to.
+        /// Leader's clock when it sent the chunk that this is a reply to, copied from that message.
         sent: Duration,
     },
     /// Request of a candidate for a vote.
--- a/crates/ebonystand-core/src/replica/replica_status.rs
+++ b/crates/ebonystand-core/src/replica/replica_status.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Snapshot of a [`Replica`]'s state for status pages and metrics.
+/// State of a [`Replica`] at one time, for status pages and metrics.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaStatus {
     /// Index of the last committed entry.
--- a/crates/ebonystand-core/src/replica/state.rs
+++ b/crates/ebonystand-core/src/replica/state.rs
@@ -50,7 +50,7 @@
     pub(crate) progress: BTreeMap<MemberId, ReplicaProgress>,
     /// Proposals that wait for their entries to be committed, by index.
     pub(crate) proposals: BTreeMap<LogIndex, ProposalId>,
-    /// Records of this step, which become one batch.
+    /// Records produced in the current step, which form one batch at its end.
     pub(crate) records: Vec<LogRecord>,
     pub(crate) rng: rand_pcg::Pcg64Mcg,
     pub(crate) role: ReplicaRole,
@@ -166,7 +166,7 @@
         replica
     }
 
-    /// Returns a snapshot of the replica's state.
+    /// Returns the replica's state for status pages and metrics.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         ReplicaStatus {
--- a/crates/ebonystand-core/tests/log_model/log_spec.rs
+++ b/crates/ebonystand-core/tests/log_model/log_spec.rs
@@ -282,7 +282,7 @@
         Some(next)
     }
 
-    /// Lets voter `j` answer candidate `i`.
+    /// Lets node `j` answer the vote request of candidate `i`.
     fn vote(&self, i: usize, j: usize) -> Option<Self> {
         let mut next = *self;
         let candidate = self.nodes[i];
--- a/crates/ebonystand-core/tests/replica_matrix/node.rs
+++ b/crates/ebonystand-core/tests/replica_matrix/node.rs
@@ -12,7 +12,7 @@
     pub token: PersistToken,
 }
 
-/// A simulated VM.
+/// A VM with a clock, a disk and a replica that can be stopped or frozen.
 pub struct Node {
     pub applied: LogIndex,
     pub disk: DurableState,
