--- a/crates/ebonystand-core/src/in_flight_order.rs
+++ b/crates/ebonystand-core/src/in_flight_order.rs
@@ -13,8 +13,7 @@
     /// before the first byte is sent to it, and only if no byte of the order was passed to a
     /// connection so far.
     ///
-    /// The deadline is checked again because the failed attempt to connect may have used up the
-    /// time.
+    /// The time is checked again: opening the connection that failed may have taken all of it.
     ///
     /// # Errors
     ///
