--- a/crates/ebonystand-core/tests/open_group.rs
+++ b/crates/ebonystand-core/tests/open_group.rs
@@ -15,7 +15,7 @@
     disks: BTreeMap<VmId, DurableState>,
     /// VMs that are stopped or partitioned off.
     down: BTreeSet<VmId>,
-    flying: VecDeque<(VmId, MemberId, ReplicaMessage)>,
+    in_flight: VecDeque<(VmId, MemberId, ReplicaMessage)>,
     next_incarnation: u64,
     now: Duration,
     replicas: BTreeMap<VmId, Replica>,
@@ -28,7 +28,7 @@
         Self {
             disks: BTreeMap::new(),
             down: BTreeSet::new(),
-            flying: VecDeque::new(),
+            in_flight: VecDeque::new(),
             next_incarnation: 1,
             now: Duration::from_secs(100),
             replicas: BTreeMap::new(),
@@ -68,7 +68,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            for (to, from, message) in std::mem::take(&mut self.flying) {
+            for (to, from, message) in std::mem::take(&mut self.in_flight) {
                 if !self.down.contains(&to) && !self.down.contains(&from.vm) {
                     self.step(&to, ReplicaInput::Message { from, message });
                 }
@@ -97,7 +97,7 @@
                         inputs.push_back(ReplicaInput::Persisted { token });
                     }
                     ReplicaOutput::Send { message, to } => {
-                        self.flying.push_back((to, id.clone(), message));
+                        self.in_flight.push_back((to, id.clone(), message));
                     }
                     _ => {}
                 }
--- a/crates/ebonystand-core/tests/replica_safeguards.rs
+++ b/crates/ebonystand-core/tests/replica_safeguards.rs
@@ -58,7 +58,7 @@
         let mut fixture = Self::new();
         fixture.elect();
 
-        fixture.matched("b", 2);
+        fixture.acknowledge("b", 2);
         assert_eq!(fixture.replica.status().commit_index, 2);
         fixture
     }
@@ -69,20 +69,20 @@
         self.step(ReplicaInput::Tick);
         for pre in [true, false] {
             let granted = true;
-            self.hear("b", 2, Body::VoteReply { granted, pre });
+            self.receive("b", 2, Body::VoteReply { granted, pre });
         }
     }
 
-    fn hear(&mut self, from: &str, term: Term, body: Body) -> Vec<ReplicaOutput> {
+    fn receive(&mut self, from: &str, term: Term, body: Body) -> Vec<ReplicaOutput> {
         let (from, to) = (member(from), Some(1));
         let message = ReplicaMessage { body, term, to };
         self.step(ReplicaInput::Message { from, message })
     }
 
-    fn matched(&mut self, from: &str, index: u64) -> Vec<ReplicaOutput> {
+    fn acknowledge(&mut self, from: &str, index: u64) -> Vec<ReplicaOutput> {
         let (outcome, sent) = (AppendOutcome::Matched { index }, self.now);
         let term = self.replica.status().term;
-        self.hear(from, term, Body::AppendReply { outcome, sent })
+        self.receive(from, term, Body::AppendReply { outcome, sent })
     }
 
     fn append(&mut self, from: &str, term: Term, entries: Vec<LogEntry>) -> Vec<ReplicaOutput> {
@@ -92,7 +92,7 @@
             previous: LogPosition { index: 1, term: 1 },
             sent: MILLI,
         };
-        self.hear(from, term, body)
+        self.receive(from, term, body)
     }
 
     /// Passes an input to the replica and syncs its records at once.
@@ -111,9 +111,9 @@
     }
 
     /// Returns whether the candidate gets the replica's vote.
-    fn votes(&mut self, candidate: &str, term: Term) -> bool {
+    fn grants_vote(&mut self, candidate: &str, term: Term) -> bool {
         let last = LogPosition { index: 9, term: 9 };
-        let outputs = self.hear(candidate, term, Body::Vote { last, pre: false });
+        let outputs = self.receive(candidate, term, Body::Vote { last, pre: false });
         sent(&outputs).any(|body| matches!(body, Body::VoteReply { granted: true, .. }))
     }
 }
@@ -138,11 +138,11 @@
 fn a_vote_outlives_a_restart() {
     let mut fixture = Fixture::new();
     fixture.now += ELECTION;
-    assert!(fixture.votes("b", 2));
+    assert!(fixture.grants_vote("b", 2));
     fixture.replica = start(fixture.disk.clone(), fixture.now);
     fixture.now += ELECTION;
-    assert!(!fixture.votes("c", 2));
-    assert!(fixture.votes("b", 2));
+    assert!(!fixture.grants_vote("c", 2));
+    assert!(fixture.grants_vote("b", 2));
 }
 
 /// A candidate asks a voter that has heard a leader, or may have heard one before it restarted. The
@@ -151,12 +151,12 @@
 fn a_voter_waits_out_the_lease_of_a_leader_that_it_heard_or_forgot() {
     let mut fixture = Fixture::new();
     fixture.now += ELECTION - MILLI;
-    assert!(!fixture.votes("b", 2));
+    assert!(!fixture.grants_vote("b", 2));
     fixture.append("c", 1, Vec::new());
     fixture.now += ELECTION - MILLI;
-    assert!(!fixture.votes("b", 2));
+    assert!(!fixture.grants_vote("b", 2));
     fixture.now += MILLI;
-    assert!(fixture.votes("b", 2));
+    assert!(fixture.grants_vote("b", 2));
 }
 
 /// A leader was deposed while it was frozen. When it resumes, it sends its old entries to a voter
@@ -198,7 +198,7 @@
     fixture
         .replica
         .step(fixture.now, ReplicaInput::Propose { command, id });
-    fixture.matched("b", 3);
+    fixture.acknowledge("b", 3);
     assert_eq!(fixture.replica.status().commit_index, 2);
 }
 
@@ -211,12 +211,12 @@
     fixture.append("c", 1, vec![command(2, 1)]);
     fixture.elect();
 
-    fixture.matched("b", 2);
+    fixture.acknowledge("b", 2);
     assert_eq!(fixture.replica.status().commit_index, 1);
     let change = MemberChange::Admit(member("d"));
     fixture.step(ReplicaInput::ChangeMembers { change, id: 1 });
     assert_eq!(fixture.replica.status().members.learners.len(), 0);
-    fixture.matched("b", 3);
+    fixture.acknowledge("b", 3);
     assert_eq!(fixture.replica.status().commit_index, 3);
 }
 
@@ -233,12 +233,12 @@
     };
     let outputs = fixture.step(change(MemberChange::Remove(member("c")), 2));
     assert!(outputs.contains(&refused));
-    fixture.matched("b", 3);
+    fixture.acknowledge("b", 3);
     let voters = |fixture: &Fixture| fixture.replica.status().members.voters;
     assert!(!voters(&fixture).contains(&member("d")));
     let outputs = fixture.step(change(MemberChange::Promote(member("d")), 2));
     assert!(outputs.contains(&refused));
-    fixture.matched("d", 3);
+    fixture.acknowledge("d", 3);
     assert!(voters(&fixture).contains(&member("d")));
 }
 
@@ -271,7 +271,7 @@
     let sent = fixture.now;
     fixture.now += 500 * MILLI;
     let outcome = AppendOutcome::Matched { index: 2 };
-    fixture.hear("c", 2, Body::AppendReply { outcome, sent });
+    fixture.receive("c", 2, Body::AppendReply { outcome, sent });
     let until = fixture.replica.status().lease_until;
     assert_eq!(until, Some(sent + 900 * MILLI));
 }
