--- a/crates/ebonystand-core/benches/membership.rs
+++ b/crates/ebonystand-core/benches/membership.rs
@@ -7,7 +7,7 @@
 use {
     ebonystand_core::{MembershipBody, MembershipMessage},
     std::time::{Duration, Instant},
-    vms::{Vms, is_alive},
+    vms::{VmFleet, is_alive},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
 
 fn resident_bytes_of_a_record() {
     const RECORDS: usize = 8_000;
-    let mut vms = Vms::new(1, 1);
+    let mut vms = VmFleet::new(1, 1);
     let before = resident_bytes();
     for vm in 1..=RECORDS {
         let from = vms::record(vm, 15);
@@ -49,8 +49,8 @@
 }
 
 fn measure(count: usize, regions: usize) {
-    let mut vms = Vms::new(count, regions);
-    let all = |vms: &Vms| (0..count).all(|vm| vms.live(vm) == count);
+    let mut vms = VmFleet::new(count, regions);
+    let all = |vms: &VmFleet| (0..count).all(|vm| vms.live(vm) == count);
     let met = vms.run_until(120 * SECOND, all);
     vms.run(30 * SECOND);
     vms.reset();
@@ -59,7 +59,7 @@
     let processor = start.elapsed().as_micros() / 10 / count as u128;
     let quiet = vms.bytes_each(10 * SECOND);
     let outputs = vms.vms[1].leave(vms.now);
-    vms.put(1, outputs);
+    vms.send(1, outputs);
     let left = vms.run_until(30 * SECOND, |vms| {
         vms.count(1, |_, entry| entry.is_leaving()) == count - 1
     });
--- a/crates/ebonystand-core/src/feed.rs
+++ b/crates/ebonystand-core/src/feed.rs
@@ -115,7 +115,7 @@
                 self.log.push(change);
                 self.push(&mut outputs);
             }
-            FeedInput::Heard {
+            FeedInput::PeerVersion {
                 version,
                 vm,
                 withdrawals,
--- a/crates/ebonystand-core/src/feed_input.rs
+++ b/crates/ebonystand-core/src/feed_input.rs
@@ -8,8 +8,8 @@
         /// The change.
         change: AcceptedChange,
     },
-    /// See [`MembershipOutput::Heard`].
-    Heard {
+    /// See [`MembershipOutput::PeerVersion`].
+    PeerVersion {
         /// The other's version.
         version: Version,
         /// The other VM.
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -111,7 +111,7 @@
     lease_terms::LeaseTerms,
     link::Link,
     link_budget::LinkBudget,
-    liveness::Liveness,
+    liveness_snapshot::LivenessSnapshot,
     load_exchange::*,
     load_report::LoadReport,
     log_budget::{LogBudget, LogKind},
@@ -179,9 +179,9 @@
     vm_entry::VmEntry,
     vm_health::VmHealth,
     vm_hint::VmHint,
-    vm_mark::VmMark,
     vm_membership::VmMembership,
     vm_record::VmRecord,
+    vm_record_id::VmRecordId,
     vm_state::VmState,
     vm_status::VmStatus,
     withdrawal::Withdrawal,
@@ -251,7 +251,7 @@
 mod link;
 mod link_budget;
 mod link_budgets;
-mod liveness;
+mod liveness_snapshot;
 mod load_exchange;
 mod load_report;
 mod log_budget;
@@ -346,9 +346,9 @@
 mod vm_entry;
 mod vm_health;
 mod vm_hint;
-mod vm_mark;
 mod vm_membership;
 mod vm_record;
+mod vm_record_id;
 mod vm_state;
 mod vm_status;
 mod vm_table;
--- a/crates/ebonystand-core/src/membership/membership_body.rs
+++ b/crates/ebonystand-core/src/membership/membership_body.rs
@@ -1,59 +1,63 @@
 use super::*;
 
-/// Purpose of a [`MembershipMessage`]. `sent_ms` is the prober's own clock, echoed, so that only
-/// an answer to a recent probe counts.
+/// Kind of a [`MembershipMessage`] and the data that goes with it.
+///
+/// `sent_ms` is read from the prober's own clock and echoed in the answer, so that only an answer
+/// to a recent probe counts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MembershipBody {
-    /// Answer to [`MembershipBody::Ping`].
+    /// Answers a [`MembershipBody::Ping`].
     Ack {
-        /// Prober that the receiver passes the answer on to.
+        /// Address of the VM that started an indirect probe; the receiver forwards the answer to
+        /// it.
         relay: Option<SocketAddr>,
-        /// Echo.
+        /// `sent_ms` of the ping that this message answers, in milliseconds.
         sent_ms: u64,
-        /// Who answers.
+        /// VM that answers.
         vm: VmId,
     },
-    /// Carries news only.
+    /// Carries membership updates and nothing else.
     Gossip,
-    /// Asks for an answer.
+    /// Asks the receiver for a [`MembershipBody::Ack`].
     Ping {
-        /// Prober on whose behalf the sender asks.
+        /// Address of the VM that started an indirect probe, if the sender pings on behalf of
+        /// another VM.
         relay: Option<SocketAddr>,
-        /// When the prober asked.
+        /// Time of the probe on the prober's clock, in milliseconds.
         sent_ms: u64,
     },
-    /// Asks the receiver to ping a VM that did not answer the sender.
+    /// Asks the receiver to ping a VM that did not answer the sender in time.
     PingRequest {
-        /// When the sender asked.
+        /// Time of the sender's unanswered probe on its clock, in milliseconds.
         sent_ms: u64,
-        /// VM that did not answer.
+        /// Address of the VM that did not answer.
         target: SocketAddr,
     },
-    /// Answer to [`MembershipBody::Sync`]; the records stand in the message's updates.
+    /// Answers a [`MembershipBody::Sync`]; the differing records are in the message's `updates`.
     Records {
-        /// The receiver lacks more than what fits.
+        /// Whether the receiver lacks more records than the answering datagrams hold.
         more: bool,
     },
-    /// Asks for the records that differ.
+    /// Asks for the records in which the receiver's table differs from the sender's.
     Sync {
-        /// Digest of each bucket of the sender's records, two bytes each.
+        /// Digests of the buckets of the sender's table, two little-endian bytes each.
         digests: Box<[u8]>,
     },
 }
 
 impl MembershipBody {
-    /// Encoded length in bytes, at most.
-    pub(crate) fn weight(&self) -> usize {
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
         const FLAG: usize = 1;
         const VARIANT: usize = 1;
-        let relay_weight = |relay: &Option<SocketAddr>| FLAG + relay.map_or(0, address_weight);
+        let relay_len = |relay: &Option<SocketAddr>| FLAG + relay.map_or(0, address_weight);
         VARIANT
             + match self {
                 Self::Ack { relay, sent_ms, vm } => {
-                    relay_weight(relay) + varint_weight(*sent_ms) + text_weight(vm)
+                    relay_len(relay) + varint_weight(*sent_ms) + text_weight(vm)
                 }
                 Self::Gossip => 0,
-                Self::Ping { relay, sent_ms } => relay_weight(relay) + varint_weight(*sent_ms),
+                Self::Ping { relay, sent_ms } => relay_len(relay) + varint_weight(*sent_ms),
                 Self::PingRequest { sent_ms, target } => {
                     varint_weight(*sent_ms) + address_weight(*target)
                 }
--- a/crates/ebonystand-core/src/membership/membership_message.rs
+++ b/crates/ebonystand-core/src/membership/membership_message.rs
@@ -1,37 +1,44 @@
 use super::*;
 
-/// Datagram between VMs, of at most [`MembershipMessage::MAX_BYTES`] encoded with `postcard`.
+/// Gossip datagram between VMs, encoded with `postcard` in at most [`MembershipMessage::MAX_BYTES`]
+/// bytes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MembershipMessage {
-    /// Purpose.
+    /// Kind of the message and its data.
     pub body: MembershipBody,
-    /// Answers that the sender's region had from other regions; only sent within a region.
+    /// Latest answers that the sender's region got from other regions; filled only for receivers in
+    /// the same region.
     pub contacts: Vec<RegionContact>,
-    /// The sender.
+    /// Record of the sender.
     pub from: VmRecord,
-    /// News, newest first.
+    /// Membership updates, the least often transmitted first and then the newest first.
     pub updates: Vec<MembershipUpdate>,
-    /// [`Withdrawals::digest`] of the sender.
+    /// [`Withdrawals::digest`] of the sender's withdrawn keys.
     pub withdrawals: u64,
 }
 
 impl MembershipMessage {
-    /// Largest encoded length. It leaves room in a datagram of 1,200 bytes, which every path
-    /// carries unfragmented, for the frame that authenticates the sender.
+    /// Upper bound of the encoded length in bytes.
+    ///
+    /// It leaves room for the frame that authenticates the sender in a datagram of 1,200 bytes,
+    /// which every path carries without fragmentation.
     pub const MAX_BYTES: usize = 1_100;
 
-    /// Datagrams that answer one [`MembershipBody::Sync`], at most.
-    const RECORDS: usize = 4;
+    /// Maximum number of datagrams that answer one [`MembershipBody::Sync`].
+    const MAX_SYNC_REPLIES: usize = 4;
 
-    /// Datagrams with as many of the updates as they carry. The last one says whether more follow.
-    pub(crate) fn records(
+    /// Splits `updates` over as many datagrams as needed, up to
+    /// [`MembershipMessage::MAX_SYNC_REPLIES`].
+    ///
+    /// The last datagram says whether more updates remain.
+    pub(crate) fn split_records(
         from: &VmRecord,
         withdrawals: u64,
         updates: impl Iterator<Item = MembershipUpdate>,
     ) -> Vec<Self> {
         let mut updates = updates.peekable();
         let mut messages = Vec::new();
-        while messages.len() < Self::RECORDS && updates.peek().is_some() {
+        while messages.len() < Self::MAX_SYNC_REPLIES && updates.peek().is_some() {
             let mut message = Self {
                 body: MembershipBody::Records { more: false },
                 contacts: Vec::new(),
@@ -39,9 +46,9 @@
                 updates: Vec::new(),
                 withdrawals,
             };
-            let mut room = Self::MAX_BYTES - message.weight();
-            while let Some(update) = updates.next_if(|update| update.weight() <= room) {
-                room -= update.weight();
+            let mut room = Self::MAX_BYTES - message.max_encoded_len();
+            while let Some(update) = updates.next_if(|update| update.max_encoded_len() <= room) {
+                room -= update.max_encoded_len();
                 message.updates.push(update);
             }
             messages.push(message);
@@ -52,23 +59,23 @@
         messages
     }
 
-    /// Encoded length in bytes, at most.
-    pub(crate) fn weight(&self) -> usize {
-        /// Lengths of `contacts` and `updates`.
-        const LENGTHS: usize = 4;
-        LENGTHS
-            + self.body.weight()
-            + self.from.weight()
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
+        /// Encoded lengths of the lists `contacts` and `updates`, two bytes each.
+        const LENGTH_PREFIXES: usize = 4;
+        LENGTH_PREFIXES
+            + self.body.max_encoded_len()
+            + self.from.max_encoded_len()
             + varint_weight(self.withdrawals)
             + self
                 .contacts
                 .iter()
-                .map(RegionContact::weight)
+                .map(RegionContact::max_encoded_len)
                 .sum::<usize>()
             + self
                 .updates
                 .iter()
-                .map(MembershipUpdate::weight)
+                .map(MembershipUpdate::max_encoded_len)
                 .sum::<usize>()
     }
 }
--- a/crates/ebonystand-core/src/membership/membership_output.rs
+++ b/crates/ebonystand-core/src/membership/membership_output.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// What [`VmMembership`] asks its process to do.
+/// Action that [`VmMembership`] asks the daemon to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipOutput {
-    /// A VM's configuration is newer, or its withdrawn keys differ: pass it to
-    /// [`FeedInput::Heard`].
-    Heard {
-        /// The other's version.
+    /// A peer's configuration is newer than this VM's, or its set of withdrawn keys differs; the
+    /// daemon passes this on as [`FeedInput::PeerVersion`].
+    PeerVersion {
+        /// Version of the configuration in force on the peer.
         version: Version,
-        /// The other VM.
+        /// Name of the peer.
         vm: VmId,
-        /// The other's [`Withdrawals::digest`].
+        /// [`Withdrawals::digest`] of the peer's withdrawn keys.
         withdrawals: u64,
     },
-    /// Send a datagram.
+    /// A datagram is to be sent.
     Send {
-        /// What.
+        /// Content of the datagram.
         message: Box<MembershipMessage>,
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
     },
 }
--- a/crates/ebonystand-core/src/membership/membership_update.rs
+++ b/crates/ebonystand-core/src/membership/membership_update.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// News of one VM.
+/// Change in what is known about one VM, spread by gossip.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MembershipUpdate {
-    /// It answers, or has written a new record.
+    /// The VM answers, or has published a new record.
     Alive(VmRecord),
-    /// It is taken for dead; only a newer record brings it back.
-    Dead(VmMark),
-    /// It did not answer; it objects with a newer record if it can.
-    Suspect(VmMark),
+    /// The VM is declared dead; only a record newer than this one revives it.
+    Dead(VmRecordId),
+    /// The VM did not answer a probe; it can refute the suspicion by publishing a newer record.
+    Suspect(VmRecordId),
 }
 
 impl MembershipUpdate {
-    /// The VM concerned.
+    /// Returns the name of the VM that the update is about.
     #[must_use]
     pub fn vm(&self) -> &VmId {
         match self {
             Self::Alive(record) => &record.vm,
-            Self::Dead(mark) | Self::Suspect(mark) => &mark.vm,
+            Self::Dead(id) | Self::Suspect(id) => &id.vm,
         }
     }
 
-    /// Encoded length in bytes, at most.
-    pub(crate) fn weight(&self) -> usize {
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
         const VARIANT: usize = 1;
         VARIANT
             + match self {
-                Self::Alive(record) => record.weight(),
-                Self::Dead(mark) | Self::Suspect(mark) => mark.weight(),
+                Self::Alive(record) => record.max_encoded_len(),
+                Self::Dead(id) | Self::Suspect(id) => id.max_encoded_len(),
             }
     }
 }
--- a/crates/ebonystand-core/src/membership/membership_view.rs
+++ b/crates/ebonystand-core/src/membership/membership_view.rs
@@ -1,19 +1,20 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg};
 
-/// What a VM knows of the fleet, and the datagrams that carry it.
+/// One VM's view of the fleet, and the gossip datagrams built from it.
 #[derive(Clone, Debug)]
 pub(crate) struct MembershipView {
     pub(crate) contacts: RegionContacts,
     pub(crate) own: VmRecord,
     pub(crate) table: VmTable,
-    pub(crate) updates: MembershipUpdates,
+    pub(crate) updates: UpdateQueue,
     pub(crate) withdrawals: u64,
 }
 
 impl MembershipView {
-    /// News in a datagram, in bytes. Two probes, two answers and four datagrams of news a second
-    /// each way stay below 10 KB a second with it, whatever happens in the fleet.
-    const NEWS_BYTES: usize = 400;
+    /// Maximum size of the updates in one datagram, in bytes. With it, the two probes, two answers
+    /// and four gossip datagrams that a VM sends and receives each second stay below 10 KB a
+    /// second, whatever happens in the fleet.
+    const MAX_UPDATE_BYTES: usize = 400;
 
     pub(crate) fn new(own: VmRecord) -> Self {
         let mut table = VmTable::default();
@@ -22,12 +23,12 @@
             contacts: RegionContacts::new(own.region.clone()),
             own,
             table,
-            updates: MembershipUpdates::default(),
+            updates: UpdateQueue::default(),
             withdrawals: 0,
         }
     }
 
-    /// Writes a new record of this VM and spreads it.
+    /// Publishes a new record of this VM and queues it for gossip.
     pub(crate) fn announce(&mut self, now: Duration) {
         self.own.heartbeat += 1;
         let update = MembershipUpdate::Alive(self.own.clone());
@@ -35,6 +36,7 @@
         self.updates.push(now, update);
     }
 
+    /// Builds the answer to a ping from `from`, along with any suspicion held against `from`.
     pub(crate) fn answer_ping(
         &mut self,
         now: Duration,
@@ -44,17 +46,22 @@
     ) -> MembershipOutput {
         let vm = self.own.vm.clone();
         let body = MembershipBody::Ack { relay, sent_ms, vm };
-        self.tell_what_is_believed_of(now, &from.vm);
-        self.message(now, from.peer, Some(&from.region), body)
+        self.queue_state_of(now, &from.vm);
+        self.build_message(now, from.peer, Some(&from.region), body)
     }
 
+    /// Builds the datagrams that bring `from` up to date in the buckets that differ from its
+    /// digests.
+    ///
+    /// They start at a random bucket, so that repeated answers cover all of them even if one answer
+    /// holds only some.
     pub(crate) fn answer_sync(
         &self,
         from: &VmRecord,
         digests: &[u8],
         rng: &mut Pcg64Mcg,
     ) -> Vec<MembershipOutput> {
-        let mut differing = self.table.differing(digests);
+        let mut differing = self.table.differing_buckets(digests);
         if differing.is_empty() {
             return Vec::new();
         }
@@ -62,8 +69,8 @@
         differing.rotate_left(start);
         let updates = differing
             .iter()
-            .flat_map(|bucket| self.table.updates_of(*bucket));
-        let messages = MembershipMessage::records(&self.own, self.withdrawals, updates);
+            .flat_map(|bucket| self.table.bucket_updates(*bucket));
+        let messages = MembershipMessage::split_records(&self.own, self.withdrawals, updates);
         let send = |message| MembershipOutput::Send {
             message: Box::new(message),
             to: from.peer,
@@ -71,7 +78,9 @@
         messages.into_iter().map(send).collect()
     }
 
-    pub(crate) fn ask_others(
+    /// Asks up to three other VMs of the own region to ping `target`, which has not answered this
+    /// VM.
+    pub(crate) fn send_indirect_probes(
         &mut self,
         now: Duration,
         target: &VmId,
@@ -79,12 +88,12 @@
         rng: &mut Pcg64Mcg,
         outputs: &mut Vec<MembershipOutput>,
     ) {
-        const ASKED_OTHERS: usize = 3;
+        const INDIRECT_PROBES: usize = 3;
         let Some(target_peer) = self.table.get(target).map(|entry| entry.record.peer) else {
             return;
         };
-        for _ in 0..ASKED_OTHERS {
-            let Some(other) = self.table.pick(&self.own.region, rng) else {
+        for _ in 0..INDIRECT_PROBES {
+            let Some(other) = self.table.pick_in_region(&self.own.region, rng) else {
                 return;
             };
             if other.record.vm == *target || other.record.vm == self.own.vm {
@@ -95,15 +104,15 @@
                 sent_ms: millis(sent),
                 target: target_peer,
             };
-            outputs.push(self.message(now, to, Some(&region), body));
+            outputs.push(self.build_message(now, to, Some(&region), body));
         }
     }
 
-    /// Drops all suspicions of VMs of the own region.
+    /// Clears the suspicion against every VM of the own region.
     pub(crate) fn clear_suspicions(&mut self) {
         let suspects: Vec<_> = self
             .table
-            .present(&self.own.region)
+            .present_in_region(&self.own.region)
             .iter()
             .filter(|vm| self.suspect_since(vm).is_some())
             .cloned()
@@ -115,6 +124,8 @@
         }
     }
 
+    /// Builds update datagrams for up to `fan_out` random VMs, alternately of any region and of the
+    /// own region.
     pub(crate) fn gossip(
         &mut self,
         now: Duration,
@@ -126,27 +137,35 @@
             let picked = if count % 2 == 0 {
                 self.table.pick_any(rng)
             } else {
-                self.table.pick(&self.own.region, rng)
+                self.table.pick_in_region(&self.own.region, rng)
             };
             let Some(other) = picked.filter(|entry| entry.record.vm != self.own.vm) else {
                 continue;
             };
             let (to, region) = (other.record.peer, other.record.region.clone());
-            outputs.push(self.message(now, to, Some(&region), MembershipBody::Gossip));
+            outputs.push(self.build_message(now, to, Some(&region), MembershipBody::Gossip));
         }
         outputs
     }
 
-    pub(crate) fn heard_of(&self, from: &VmRecord, withdrawals: u64) -> Option<MembershipOutput> {
-        let news = from.version > self.own.version || withdrawals != self.withdrawals;
-        news.then(|| MembershipOutput::Heard {
+    /// Returns a [`MembershipOutput::PeerVersion`] if the peer has a newer configuration or another
+    /// set of withdrawn keys.
+    pub(crate) fn detect_peer_difference(
+        &self,
+        from: &VmRecord,
+        withdrawals: u64,
+    ) -> Option<MembershipOutput> {
+        let differs = from.version > self.own.version || withdrawals != self.withdrawals;
+        differs.then(|| MembershipOutput::PeerVersion {
             version: from.version,
             vm: from.vm.clone(),
             withdrawals,
         })
     }
 
-    pub(crate) fn message(
+    /// Builds a datagram with as many queued updates as fit. `region` is the receiver's, if known;
+    /// only receivers in the own region get `contacts`.
+    pub(crate) fn build_message(
         &mut self,
         now: Duration,
         to: SocketAddr,
@@ -154,7 +173,7 @@
         body: MembershipBody,
     ) -> MembershipOutput {
         let contacts = match region {
-            Some(region) if *region == self.own.region => self.contacts.shared(now),
+            Some(region) if *region == self.own.region => self.contacts.recent(now),
             Some(_) | None => Vec::new(),
         };
         let mut message = MembershipMessage {
@@ -164,29 +183,31 @@
             updates: Vec::new(),
             withdrawals: self.withdrawals,
         };
-        let room = MembershipMessage::MAX_BYTES.saturating_sub(message.weight());
-        let room = room.min(Self::NEWS_BYTES);
-        message.updates = self.updates.take(now, room, self.times());
+        let room = MembershipMessage::MAX_BYTES.saturating_sub(message.max_encoded_len());
+        let room = room.min(Self::MAX_UPDATE_BYTES);
+        message.updates = self.updates.take_batch(now, room, self.transmit_limit());
         MembershipOutput::Send {
             message: Box::new(message),
             to,
         }
     }
 
-    /// VMs of the own region whose time to object is over.
-    pub(crate) fn overdue_suspects(&self, now: Duration) -> Vec<VmMark> {
+    /// Returns the suspects of the own region whose [`VmMembership::SUSPICION_TIMEOUT`] is over.
+    pub(crate) fn expired_suspects(&self, now: Duration) -> Vec<VmRecordId> {
         self.table
-            .present(&self.own.region)
+            .present_in_region(&self.own.region)
             .iter()
             .filter(|vm| {
-                self.suspect_since(vm)
-                    .is_some_and(|since| now.saturating_sub(since) >= VmMembership::SUSPECT_FOR)
+                self.suspect_since(vm).is_some_and(|since| {
+                    now.saturating_sub(since) >= VmMembership::SUSPICION_TIMEOUT
+                })
             })
             .filter_map(|vm| self.table.get(vm))
-            .map(|entry| entry.record.mark())
+            .map(|entry| entry.record.id())
             .collect()
     }
 
+    /// Pings the VM at `to` directly.
     pub(crate) fn ping(
         &mut self,
         now: Duration,
@@ -198,37 +219,37 @@
             relay: None,
             sent_ms: millis(now),
         };
-        outputs.push(self.message(now, to, region, body));
+        outputs.push(self.build_message(now, to, region, body));
     }
 
-    /// Tells suspects of the own region what they are suspected of, and hears their objection from
-    /// themselves. Left to gossip alone, one lost datagram in ten was enough that an objection
-    /// came too late and a VM that answers was taken for dead.
+    /// Pings suspects of the own region and tells them of the suspicion, so that they can refute it
+    /// directly to this VM. With gossip alone, the loss of one datagram in ten delayed a refutation
+    /// beyond the timeout, and a VM that answers was declared dead.
     pub(crate) fn ping_suspects(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
-        const AT_ONCE: usize = 16;
+        const MAX_SUSPECTS: usize = 16;
         let suspects: Vec<_> = self
             .table
-            .present(&self.own.region)
+            .present_in_region(&self.own.region)
             .iter()
             .filter(|vm| self.suspect_since(vm).is_some())
             .filter_map(|vm| self.table.get(vm))
-            .take(AT_ONCE)
+            .take(MAX_SUSPECTS)
             .map(|entry| entry.record.clone())
             .collect();
         for record in suspects {
-            self.tell_what_is_believed_of(now, &record.vm);
+            self.queue_state_of(now, &record.vm);
             self.ping(now, record.peer, Some(&record.region), outputs);
         }
     }
 
-    /// Pings a VM of another region, and of some regions that have not answered lately.
+    /// Pings a VM of one random other region, and of up to three regions without a recent answer.
     pub(crate) fn probe_regions(
         &mut self,
         now: Duration,
         rng: &mut Pcg64Mcg,
         outputs: &mut Vec<MembershipOutput>,
     ) {
-        const STALE_REGIONS_ASKED: usize = 3;
+        const MAX_STALE_REGIONS: usize = 3;
         let others: Vec<_> = self
             .table
             .regions()
@@ -238,17 +259,17 @@
         if others.is_empty() {
             return;
         }
-        let mut asked = BTreeSet::from([others[rng.random_range(0..others.len())].clone()]);
+        let mut probed = BTreeSet::from([others[rng.random_range(0..others.len())].clone()]);
         let mut stale: Vec<_> = others
             .into_iter()
             .filter(|region| self.contacts.is_stale(now, region))
             .collect();
-        for _ in 0..STALE_REGIONS_ASKED.min(stale.len()) {
+        for _ in 0..MAX_STALE_REGIONS.min(stale.len()) {
             let index = rng.random_range(0..stale.len());
-            asked.insert(stale.swap_remove(index));
+            probed.insert(stale.swap_remove(index));
         }
-        for region in asked {
-            let Some(entry) = self.table.pick(&region, rng) else {
+        for region in probed {
+            let Some(entry) = self.table.pick_in_region(&region, rng) else {
                 continue;
             };
             let to = entry.record.peer;
@@ -256,6 +277,7 @@
         }
     }
 
+    /// Sets the version of the configuration in this VM's record, without publishing a new record.
     pub(crate) fn set_version(&mut self, version: Version) {
         self.own.version = version;
         if let Some(entry) = self.table.get_mut(&self.own.vm) {
@@ -263,21 +285,28 @@
         }
     }
 
-    /// Takes over news; whether it was new.
-    pub(crate) fn take(&mut self, now: Duration, update: &MembershipUpdate, spread: bool) -> bool {
+    /// Merges an update into the table, and returns whether it was new. A new update is queued for
+    /// gossip if `propagate` is set; an update about this VM is refuted instead if needed.
+    pub(crate) fn merge_update(
+        &mut self,
+        now: Duration,
+        update: &MembershipUpdate,
+        propagate: bool,
+    ) -> bool {
         if *update.vm() == self.own.vm {
-            self.take_of_itself(now, update);
+            self.refute(now, update);
             return false;
         }
         let fresh = self.table.merge(now, update);
-        if fresh && spread {
+        if fresh && propagate {
             self.updates.push(now, update.clone());
         }
         fresh
     }
 
-    /// A VM that is taken for suspect or dead learns it with the next datagram, and objects.
-    pub(crate) fn tell_what_is_believed_of(&mut self, now: Duration, vm: &VmId) {
+    /// Queues the suspicion or death recorded against `vm`, so that the next datagram to it carries
+    /// the update and `vm` can refute it.
+    pub(crate) fn queue_state_of(&mut self, now: Duration, vm: &VmId) {
         let Some(entry) = self.table.get(vm) else {
             return;
         };
@@ -285,13 +314,14 @@
             VmState::Alive => {}
             VmState::Dead { .. } => self
                 .updates
-                .push(now, MembershipUpdate::Dead(entry.record.mark())),
+                .push(now, MembershipUpdate::Dead(entry.record.id())),
             VmState::Suspect { .. } => self
                 .updates
-                .push(now, MembershipUpdate::Suspect(entry.record.mark())),
+                .push(now, MembershipUpdate::Suspect(entry.record.id())),
         }
     }
 
+    /// Returns the time since which `vm` is a suspect, if it is one.
     fn suspect_since(&self, vm: &str) -> Option<Duration> {
         match self.table.get(vm)?.state {
             VmState::Suspect { since } => Some(since),
@@ -299,29 +329,29 @@
         }
     }
 
-    /// Objects to a suspicion, and rises above records of an earlier start of this VM, also when
-    /// its wall clock, which the incarnation is taken from, went back in between.
-    fn take_of_itself(&mut self, now: Duration, update: &MembershipUpdate) {
-        let (age, alive) = match update {
-            MembershipUpdate::Alive(record) => (record.age(), *record == self.own),
-            MembershipUpdate::Dead(mark) | MembershipUpdate::Suspect(mark) => (mark.age(), false),
+    /// Publishes a newer record if `update` supersedes the own one: it refutes a suspicion or a
+    /// death, and supersedes records of an earlier start of this VM. The latter matters when the
+    /// wall clock, from which the incarnation is taken, went back between the two starts.
+    fn refute(&mut self, now: Duration, update: &MembershipUpdate) {
+        let (precedence, alive) = match update {
+            MembershipUpdate::Alive(record) => (record.precedence(), *record == self.own),
+            MembershipUpdate::Dead(id) | MembershipUpdate::Suspect(id) => (id.precedence(), false),
         };
-        let same =
-            matches!(update, MembershipUpdate::Alive(record) if record.age() == self.own.age());
-        if age < self.own.age() || alive || same {
+        let same = matches!(update, MembershipUpdate::Alive(record) if record.precedence() == self.own.precedence());
+        if precedence < self.own.precedence() || alive || same {
             return;
         }
-        if age.0 > self.own.incarnation {
-            self.own.incarnation = age.0 + 1;
+        if precedence.0 > self.own.incarnation {
+            self.own.incarnation = precedence.0 + 1;
         }
-        self.own.heartbeat = self.own.heartbeat.max(age.1);
+        self.own.heartbeat = self.own.heartbeat.max(precedence.1);
         self.announce(now);
     }
 
-    /// Copies of each piece of news that this VM sends: enough that all get it with high
-    /// probability, and growing with the logarithm of the fleet only.
-    fn times(&self) -> u32 {
-        const FACTOR: u32 = 3;
-        FACTOR * (self.table.present_count() as u64 + 1).ilog2().max(1)
+    /// Returns the number of times that this VM transmits each update: enough to reach every VM
+    /// with high probability, and logarithmic in the size of the fleet.
+    fn transmit_limit(&self) -> u32 {
+        const TRANSMIT_MULTIPLIER: u32 = 3;
+        TRANSMIT_MULTIPLIER * (self.table.present_count() as u64 + 1).ilog2().max(1)
     }
 }
--- a/crates/ebonystand-core/src/membership/mod.rs
+++ b/crates/ebonystand-core/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Messages and views by which VMs know which of them are live.
+//! Gossip messages and the view of the fleet that tell which VMs are live, and the members of a
+//! replicated group.
 
 use super::*;
 
@@ -7,12 +8,12 @@
     membership_output::MembershipOutput, membership_update::MembershipUpdate, state::Membership,
 };
 
-pub(crate) use {membership_updates::MembershipUpdates, membership_view::MembershipView};
+pub(crate) use {membership_view::MembershipView, update_queue::UpdateQueue};
 
 mod membership_body;
 mod membership_message;
 mod membership_output;
 mod membership_update;
-mod membership_updates;
 mod membership_view;
 mod state;
+mod update_queue;
--- a/crates/ebonystand-core/src/membership/state.rs
+++ b/crates/ebonystand-core/src/membership/state.rs
@@ -1,19 +1,22 @@
 use super::*;
 
-/// The replicas of a group. The newest one in a replica's log counts, committed or not.
+/// Voters and learners of a replicated group. A replica goes by the newest membership in its log,
+/// committed or not.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Membership {
-    /// Replicas that receive the log and count in no quorum.
+    /// Replicas that receive the log but count in no quorum.
     pub learners: BTreeSet<MemberId>,
-    /// Replicas that elect and commit.
+    /// Replicas whose votes elect a leader and whose acknowledgements commit entries.
     pub voters: BTreeSet<MemberId>,
 }
 
 impl Membership {
-    /// The members after `change`; `None` if it changes nothing or would leave no voter.
+    /// Returns the membership after `change`, or `None` if it changes nothing or would leave no
+    /// voter.
     ///
-    /// The sets of voters before and after differ by one at most, so that each majority of the one
-    /// meets each majority of the other: two leaders cannot be elected by disjoint majorities.
+    /// The sets of voters before and after differ by at most one replica, so every majority of one
+    /// set intersects every majority of the other, and no two leaders can be elected by disjoint
+    /// majorities.
     #[must_use]
     pub fn after(&self, change: &MemberChange) -> Option<Self> {
         let mut next = self.clone();
@@ -38,18 +41,18 @@
         (next != *self && !next.voters.is_empty()).then_some(next)
     }
 
-    /// Whether `id` is a voter or a learner.
+    /// Returns whether `id` is a voter or a learner.
     #[must_use]
     pub fn contains(&self, id: &MemberId) -> bool {
         self.learners.contains(id) || self.voters.contains(id)
     }
 
-    /// Voters, then learners.
+    /// Iterates over the voters, then the learners.
     pub fn iter(&self) -> impl Iterator<Item = &MemberId> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// Voters that make a majority.
+    /// Returns the number of voters that form a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
--- a/crates/ebonystand-core/src/prober.rs
+++ b/crates/ebonystand-core/src/prober.rs
@@ -1,69 +1,74 @@
 use {super::*, rand::seq::SliceRandom, rand_pcg::Pcg64Mcg};
 
-/// Probes the VMs of the own region in shuffled turns, so that each is probed within a bounded
-/// time, one at a time.
+/// Selects the VM of the own region to probe next, and tracks the one open probe.
+///
+/// VMs are probed one at a time in a shuffled order that is drawn anew after each round, so that
+/// each is probed within a bounded time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prober {
-    order: Vec<VmId>,
+    /// VMs that are still to be probed in this round.
+    remaining: Vec<VmId>,
     probe: Option<Probe>,
 }
 
+/// Probe that has not been answered yet.
 #[derive(Clone, Debug)]
 struct Probe {
-    asked_others: bool,
+    indirect_probes_sent: bool,
     sent: Duration,
-    target: VmMark,
+    target: VmRecordId,
 }
 
 impl Prober {
-    /// Notes an answer.
-    pub(crate) fn answered(&mut self, vm: &VmId) {
+    /// Closes the open probe if it is of `vm`.
+    pub(crate) fn record_answer(&mut self, vm: &VmId) {
         self.probe.take_if(|probe| probe.target.vm == *vm);
     }
 
-    /// When others are to be asked, if they have not been.
-    pub(crate) fn due(&self) -> Option<Duration> {
+    /// Returns the time when other VMs are to be asked to probe the target, unless they have been.
+    pub(crate) fn indirect_probe_due(&self) -> Option<Duration> {
         let probe = self.probe.as_ref()?;
-        (!probe.asked_others).then_some(probe.sent + VmMembership::PROBE_ANSWER)
+        (!probe.indirect_probes_sent).then_some(probe.sent + VmMembership::PROBE_TIMEOUT)
     }
 
-    /// The VM that has not answered in time and when it was asked, once.
-    pub(crate) fn late(&mut self, now: Duration) -> Option<(VmId, Duration)> {
-        self.due().filter(|due| *due <= now)?;
+    /// Returns the target that has not answered within [`VmMembership::PROBE_TIMEOUT`] and the time
+    /// of the probe. Each probe is returned at most once.
+    pub(crate) fn take_unanswered(&mut self, now: Duration) -> Option<(VmId, Duration)> {
+        self.indirect_probe_due().filter(|due| *due <= now)?;
         let probe = self.probe.as_mut()?;
-        probe.asked_others = true;
+        probe.indirect_probes_sent = true;
         Some((probe.target.vm.clone(), probe.sent))
     }
 
-    /// Starts the next probe.
-    pub(crate) fn start(
+    /// Opens a probe of the next VM of the round and returns that VM.
+    pub(crate) fn start_next(
         &mut self,
         now: Duration,
         table: &VmTable,
         own: &VmRecord,
         rng: &mut Pcg64Mcg,
     ) -> Option<VmId> {
-        if self.order.is_empty() {
-            self.order = table.present(&own.region).to_vec();
-            self.order.shuffle(rng);
+        if self.remaining.is_empty() {
+            self.remaining = table.present_in_region(&own.region).to_vec();
+            self.remaining.shuffle(rng);
         }
-        while let Some(vm) = self.order.pop() {
+        while let Some(vm) = self.remaining.pop() {
             let entry = table.get(&vm).filter(|entry| !entry.is_dead());
             let Some(entry) = entry.filter(|_| vm != own.vm) else {
                 continue;
             };
             self.probe = Some(Probe {
-                asked_others: false,
+                indirect_probes_sent: false,
                 sent: now,
-                target: entry.record.mark(),
+                target: entry.record.id(),
             });
             return Some(vm);
         }
         None
     }
 
-    /// Ends the probe; the VM that has not answered.
-    pub(crate) fn stop(&mut self) -> Option<VmMark> {
+    /// Closes the open probe and returns its target if it has not answered.
+    pub(crate) fn finish(&mut self) -> Option<VmRecordId> {
         self.probe.take().map(|probe| probe.target)
     }
 }
--- a/crates/ebonystand-core/src/region_contact.rs
+++ b/crates/ebonystand-core/src/region_contact.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// How long ago somebody of the sender's region had an answer from another region.
+/// Age of the last answer that any VM of the sender's region got from another region.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RegionContact {
-    /// Milliseconds.
+    /// Time since the answer, in milliseconds.
     pub age_ms: u64,
-    /// The other region.
+    /// Region that answered.
     pub region: RegionId,
 }
 
 impl RegionContact {
-    /// Encoded length in bytes, at most.
-    pub(crate) fn weight(&self) -> usize {
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
         text_weight(&self.region) + varint_weight(self.age_ms)
     }
 }
 
-/// Whole milliseconds of a time.
+/// Converts a time to whole milliseconds.
 pub(crate) fn millis(time: Duration) -> u64 {
     time.as_millis() as u64
 }
--- a/crates/ebonystand-core/src/region_contacts.rs
+++ b/crates/ebonystand-core/src/region_contacts.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// When the own region last had an answer from each other region.
+/// Times when VMs of the own region last got an answer from each other region.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionContacts {
     contacts: BTreeMap<RegionId, Duration>,
@@ -8,8 +8,8 @@
 }
 
 impl RegionContacts {
-    /// A region whose last answer is older is asked by whoever finds out.
-    const STALE: Duration = Duration::from_secs(2);
+    /// Age of a region's last answer from which on each VM that notices it probes that region.
+    const STALE_AFTER: Duration = Duration::from_secs(2);
 
     pub(crate) fn new(own: RegionId) -> Self {
         Self {
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Notes an answer.
-    pub(crate) fn answered(&mut self, at: Duration, region: &RegionId) {
+    /// Records an answer from `region`, unless it is the own region or a newer answer is known.
+    pub(crate) fn record_answer(&mut self, at: Duration, region: &RegionId) {
         if *region == self.own {
             return;
         }
@@ -27,35 +27,38 @@
         *known = at.max(*known);
     }
 
+    /// Returns whether `region` is the own one or has answered within
+    /// [`VmMembership::REGION_TIMEOUT`].
     pub(crate) fn is_reachable(&self, now: Duration, region: &str) -> bool {
         let contact = self.contacts.get(region);
         *region == *self.own
             || contact
-                .is_some_and(|contact| now.saturating_sub(*contact) < VmMembership::REGION_SILENCE)
+                .is_some_and(|contact| now.saturating_sub(*contact) < VmMembership::REGION_TIMEOUT)
     }
 
+    /// Returns whether `region` has not answered within [`RegionContacts::STALE_AFTER`].
     pub(crate) fn is_stale(&self, now: Duration, region: &str) -> bool {
         let contact = self.contacts.get(region).copied().unwrap_or_default();
-        now.saturating_sub(contact) >= Self::STALE
+        now.saturating_sub(contact) >= Self::STALE_AFTER
     }
 
-    /// What the VMs of the own region are told.
-    pub(crate) fn shared(&self, now: Duration) -> Vec<RegionContact> {
+    /// Returns the contacts with reachable regions, to be shared with VMs of the own region.
+    pub(crate) fn recent(&self, now: Duration) -> Vec<RegionContact> {
         self.contacts
             .iter()
             .map(|(region, contact)| RegionContact {
                 age_ms: millis(now.saturating_sub(*contact)),
                 region: region.clone(),
             })
-            .filter(|contact| contact.age_ms < millis(VmMembership::REGION_SILENCE))
+            .filter(|contact| contact.age_ms < millis(VmMembership::REGION_TIMEOUT))
             .collect()
     }
 
-    /// Takes over what a VM of the own region tells.
-    pub(crate) fn take(&mut self, now: Duration, contacts: &[RegionContact]) {
+    /// Merges the contacts that a VM of the own region shares.
+    pub(crate) fn merge(&mut self, now: Duration, contacts: &[RegionContact]) {
         for contact in contacts {
             let age = Duration::from_millis(contact.age_ms);
-            self.answered(now.saturating_sub(age), &contact.region);
+            self.record_answer(now.saturating_sub(age), &contact.region);
         }
     }
 }
--- a/crates/ebonystand-core/src/seed_addresses.rs
+++ b/crates/ebonystand-core/src/seed_addresses.rs
@@ -1,6 +1,6 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg};
 
-/// Addresses where VMs may be found, from the settings and from the platform's list.
+/// Addresses where VMs may be reached, from the settings and from the platform's list.
 #[derive(Clone, Debug)]
 pub(crate) struct SeedAddresses {
     addresses: VecDeque<SocketAddr>,
@@ -17,6 +17,7 @@
         }
     }
 
+    /// Adds an address, and drops the oldest one beyond the capacity.
     pub(crate) fn add(&mut self, address: SocketAddr) {
         if self.addresses.contains(&address) {
             return;
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Returns a random address other than the own one.
     pub(crate) fn pick(&self, rng: &mut Pcg64Mcg) -> Option<SocketAddr> {
         let others: Vec<_> = self.others().collect();
         if others.is_empty() {
@@ -35,8 +37,8 @@
         Some(others[rng.random_range(0..others.len())])
     }
 
-    /// Addresses that no known VM has.
-    pub(crate) fn unknown(&self, table: &VmTable) -> Vec<SocketAddr> {
+    /// Returns the addresses at which no known VM listens.
+    pub(crate) fn of_unknown_vms(&self, table: &VmTable) -> Vec<SocketAddr> {
         let peers: BTreeSet<_> = table.entries().map(|entry| entry.record.peer).collect();
         self.others()
             .filter(|address| !peers.contains(address))
--- a/crates/ebonystand-core/src/vm_entry.rs
+++ b/crates/ebonystand-core/src/vm_entry.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// A VM's newest known record and what is believed of it.
+/// Newest known record of a VM, with the state that this VM believes it to be in.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmEntry {
-    /// The platform's list shows this incarnation as leaving.
+    /// Whether the platform's list shows this incarnation as leaving.
     pub hinted_leaving: bool,
-    /// Its newest known record.
+    /// Newest known record of the VM.
     pub record: VmRecord,
-    /// What is believed of it.
+    /// Believed state of the VM.
     pub state: VmState,
 }
 
 impl VmEntry {
-    /// Whether it is to get no new work.
+    /// Returns whether the VM must get no new work, by its own record or by the platform's list.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.record.leaving || self.hinted_leaving
--- a/crates/ebonystand-core/src/vm_health.rs
+++ b/crates/ebonystand-core/src/vm_health.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// Whether a VM answers, as another sees it.
+/// Health of a VM as another VM sees it, including whether its region answers.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmHealth {
-    /// It answers.
+    /// The VM answers.
     #[display("alive")]
     Alive,
-    /// It has answered nobody of its region.
+    /// The VM was declared dead: it has answered no VM of its region.
     #[display("dead")]
     Dead,
-    /// It did not answer lately, and may still.
+    /// The VM missed a probe, and may still refute the suspicion.
     #[display("suspect")]
     Suspect,
-    /// Nobody of its region answers.
+    /// No VM of its region answers, so nothing is known of this VM.
     #[display("unreachable")]
     Unreachable,
 }
--- a/crates/ebonystand-core/src/vm_hint.rs
+++ b/crates/ebonystand-core/src/vm_hint.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// A VM as the platform's list shows it. The list lags, so it adds contacts and takes new work
-/// away from a VM, and never removes one.
+/// Entry of the platform's list of VMs. The list lags, so an entry can add an address to contact or
+/// stop new work for a VM, but never removes a VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmHint {
-    /// The platform is about to take the VM away.
+    /// Whether the platform is about to remove the VM.
     pub leaving: bool,
-    /// Where it listens for other VMs.
+    /// Address where the VM listens for other VMs.
     pub peer: SocketAddr,
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmId,
 }
--- a/crates/ebonystand-core/src/vm_membership.rs
+++ b/crates/ebonystand-core/src/vm_membership.rs
@@ -4,85 +4,92 @@
     rand_pcg::Pcg64Mcg,
 };
 
-/// The VMs of the fleet, kept by gossip at a cost that does not grow with their number.
+/// Failure detector and membership list of the fleet's VMs, maintained by gossip at a cost per VM
+/// that does not grow with the fleet.
 ///
-/// In each [`VmMembership::PROBE_EVERY`] a VM probes one VM of its own region and one of another.
-/// A VM of its own region that answers neither it nor three others becomes suspect, and dead if it
-/// does not object within [`VmMembership::SUSPECT_FOR`]. Only a change is spread: carrying the
-/// heartbeat of every VM within the same time would cost each VM a share that grows with the
-/// fleet.
+/// In each [`VmMembership::PROBE_INTERVAL`] a VM probes one VM of its own region and one of another
+/// region. A VM of its own region that answers neither it nor three others becomes suspect, and
+/// dead if it does not refute the suspicion within [`VmMembership::SUSPICION_TIMEOUT`]. Only
+/// changes are gossiped: spreading every VM's heartbeat within the same time would cost each VM
+/// traffic proportional to the fleet.
 ///
-/// Nobody declares a VM of another region dead. A region that does not answer is unreachable:
-/// [`VmMembership::live`] leaves its VMs out and keeps their records, so that a cut spreads no
-/// news, and a heal is one answer away.
+/// No VM declares a VM of another region dead. A region that does not answer is unreachable:
+/// [`VmMembership::live`] leaves its VMs out but keeps their records. A network partition therefore
+/// causes no gossip, and the first answer after it heals restores the region.
 #[derive(Clone, Debug)]
 pub struct VmMembership {
-    heard: Duration,
+    /// Time of the last datagram from another VM.
+    last_received: Duration,
     next_tick: Duration,
     prober: Prober,
     rng: Pcg64Mcg,
     round: u64,
     seeds: SeedAddresses,
-    sync: bool,
+    /// Whether the next tick compares digests with another VM without waiting for its turn.
+    needs_sync: bool,
     view: MembershipView,
 }
 
 impl VmMembership {
-    /// After it, a record of a dead VM is forgotten.
-    pub const FORGET_AFTER: Duration = Duration::from_secs(3_600);
-    /// VMs that get a datagram of news in each tick that has any.
+    /// Time after which the record of a dead VM is forgotten.
+    pub const FORGET_DEAD_AFTER: Duration = Duration::from_secs(3_600);
+    /// Number of VMs that get a gossip datagram in each tick that has updates to spread.
     pub const GOSSIP_FAN_OUT: usize = 2;
-    /// After it, a probe's answer is asked for through other VMs.
-    pub const PROBE_ANSWER: Duration = Duration::from_millis(400);
-    /// Time between two probes of a VM.
-    pub const PROBE_EVERY: Duration = Duration::from_millis(1_000);
-    /// A region whose last answer to anybody of the own region is older is unreachable.
-    pub const REGION_SILENCE: Duration = Duration::from_secs(6);
-    /// A VM that has heard nobody for longer is itself cut off, or stood still.
-    pub const SILENCE: Duration = Duration::from_secs(3);
-    /// Time that a suspect has to object. Not shorter than [`VmMembership::SILENCE`]: a VM that
-    /// stood still while a suspect objected then knows that it heard nobody before the time is
-    /// over.
-    pub const SUSPECT_FOR: Duration = Self::SILENCE;
-    /// Time between two calls of [`VmMembership::tick`] that do something.
-    pub const TICK: Duration = Duration::from_millis(500);
+    /// Time after which an unanswered probe is repeated through other VMs.
+    pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+    /// Time between two probes that a VM sends.
+    pub const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+    /// Time without an answer to any VM of the own region after which a region is unreachable.
+    pub const REGION_TIMEOUT: Duration = Duration::from_secs(6);
+    /// Time without any datagram after which a VM assumes that it is itself partitioned or was
+    /// suspended.
+    pub const ISOLATION_TIMEOUT: Duration = Duration::from_secs(3);
+    /// Time that a suspect has to refute the suspicion. It is not shorter than
+    /// [`VmMembership::ISOLATION_TIMEOUT`], so that a VM that was suspended while a suspect refuted
+    /// notices its own isolation before the suspicion expires.
+    pub const SUSPICION_TIMEOUT: Duration = Self::ISOLATION_TIMEOUT;
+    /// Time between two calls of [`VmMembership::tick`] that start a new round.
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
+    /// Number of ticks between two removals of VMs that have been dead for too long.
     const FORGET_EVERY_ROUNDS: u64 = 60;
+    /// Number of ticks between two comparisons of digests with another VM.
     const SYNC_EVERY_ROUNDS: u64 = 20;
 
-    /// A VM that knows itself and the addresses of `seeds`.
+    /// Creates the membership of a VM that knows only its own record and the addresses of `seeds`.
     #[must_use]
     pub fn new(own: VmRecord, seeds: Vec<SocketAddr>, now: Duration, seed: u64) -> Self {
         Self {
-            heard: now,
+            last_received: now,
             next_tick: now,
             prober: Prober::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             round: 0,
             seeds: SeedAddresses::new(own.peer, seeds),
-            sync: true,
+            needs_sync: true,
             view: MembershipView::new(own),
         }
     }
 
-    /// Adds addresses of VMs to meet.
+    /// Adds addresses at which other VMs may be reached.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         seeds.iter().for_each(|seed| self.seeds.add(*seed));
     }
 
-    /// When [`VmMembership::tick`] is next due.
+    /// Returns the time when [`VmMembership::tick`] is next due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
-        let due = self.prober.due();
+        let due = self.prober.indirect_probe_due();
         due.map_or(self.next_tick, |due| due.min(self.next_tick))
     }
 
-    /// Everything known, dead and unreachable VMs included.
+    /// Iterates over all known VMs, dead and unreachable ones included.
     pub fn entries(&self) -> impl Iterator<Item = &VmEntry> {
         self.view.table.entries()
     }
 
-    /// Whether a VM answers.
+    /// Returns the health of a VM, which is `Unreachable` if it is not dead but its region does not
+    /// answer.
     #[must_use]
     pub fn health(&self, now: Duration, entry: &VmEntry) -> VmHealth {
         match entry.state {
@@ -97,15 +104,15 @@
         }
     }
 
-    /// What is known of a VM.
+    /// Returns the entry of a VM, if it is known.
     #[must_use]
     pub fn get(&self, vm: &VmId) -> Option<&VmEntry> {
         self.view.table.get(vm)
     }
 
-    /// Takes over the platform's list. It lags: an unknown VM is only contacted, and `leaving`
-    /// holds until the VM starts anew or the list says otherwise.
-    pub fn hint(&mut self, hints: &[VmHint]) {
+    /// Applies the platform's list of VMs. The list lags: an unknown VM is only contacted, and
+    /// `leaving` holds until the VM restarts or the list says otherwise.
+    pub fn apply_hints(&mut self, hints: &[VmHint]) {
         for hint in hints {
             if hint.vm == self.view.own.vm {
                 continue;
@@ -117,13 +124,14 @@
         }
     }
 
-    /// Whether a region has answered lately; the own one always has.
+    /// Returns whether a region has answered within [`VmMembership::REGION_TIMEOUT`]; the own
+    /// region always has.
     #[must_use]
     pub fn is_reachable(&self, now: Duration, region: &str) -> bool {
         self.view.contacts.is_reachable(now, region)
     }
 
-    /// Announces that this VM takes no new work.
+    /// Announces that this VM takes no new work, and returns the datagrams that spread it.
     pub fn leave(&mut self, now: Duration) -> Vec<MembershipOutput> {
         self.view.own.leaving = true;
         self.view.announce(now);
@@ -131,24 +139,25 @@
             .gossip(now, 2 * Self::GOSSIP_FAN_OUT, &mut self.rng)
     }
 
-    /// VMs in reachable regions that nobody suspects, this one included, leaving ones included.
-    /// A VM that hears nobody has only itself.
+    /// Iterates over the unsuspected VMs of reachable regions, including this VM and leaving ones.
+    /// If this VM is isolated, only it is returned.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &VmEntry> {
-        let alone = self.hears_nobody(now);
+        let is_isolated = self.is_isolated(now);
         self.view
             .table
             .entries()
             .filter(|entry| entry.state == VmState::Alive)
-            .filter(move |entry| !alone || entry.record.vm == self.view.own.vm)
+            .filter(move |entry| !is_isolated || entry.record.vm == self.view.own.vm)
             .filter(move |entry| self.is_reachable(now, &entry.record.region))
     }
 
-    /// What [`Self::live`] derives its VMs from; it yields the same ones while this is equal.
+    /// Returns the inputs that [`Self::live`] depends on, to tell whether a cached result is still
+    /// valid.
     #[must_use]
-    pub fn liveness(&self, now: Duration) -> Liveness {
+    pub fn liveness_snapshot(&self, now: Duration) -> LivenessSnapshot {
         let regions = self.view.table.regions();
-        Liveness {
-            hears_nobody: self.hears_nobody(now),
+        LivenessSnapshot {
+            is_isolated: self.is_isolated(now),
             reachable: regions
                 .map(|region| self.is_reachable(now, region))
                 .collect(),
@@ -156,13 +165,13 @@
         }
     }
 
-    /// This VM's record.
+    /// Returns this VM's own record.
     #[must_use]
-    pub fn own(&self) -> &VmRecord {
+    pub fn own_record(&self) -> &VmRecord {
         &self.view.own
     }
 
-    /// Takes over a datagram from a VM.
+    /// Processes a datagram from another VM.
     pub fn receive(&mut self, now: Duration, message: MembershipMessage) -> Vec<MembershipOutput> {
         let MembershipMessage {
             body,
@@ -174,34 +183,35 @@
         if from.vm == self.view.own.vm {
             return Vec::new();
         }
-        if self.hears_nobody(now) {
-            self.after_silence(now);
+        if self.is_isolated(now) {
+            self.recover_from_isolation(now);
         }
-        self.heard = now;
-        let synced = matches!(body, MembershipBody::Records { .. });
-        let heard = self.view.heard_of(&from, withdrawals);
+        self.last_received = now;
+        let is_sync_reply = matches!(body, MembershipBody::Records { .. });
+        let peer_version = self.view.detect_peer_difference(&from, withdrawals);
         self.view
-            .take(now, &MembershipUpdate::Alive(from.clone()), true);
+            .merge_update(now, &MembershipUpdate::Alive(from.clone()), true);
         for update in &updates {
-            let fresh = self.view.take(now, update, !synced);
-            self.sync |= fresh && synced;
+            let fresh = self.view.merge_update(now, update, !is_sync_reply);
+            self.needs_sync |= fresh && is_sync_reply;
         }
         if from.region == self.view.own.region {
-            self.view.contacts.take(now, &contacts);
+            self.view.contacts.merge(now, &contacts);
         }
-        let mut outputs = self.answer(now, &from, body);
-        outputs.extend(heard);
+        let mut outputs = self.handle_body(now, &from, body);
+        outputs.extend(peer_version);
         outputs
     }
 
-    /// Grows with each change of what is known, so that a caller may keep what it derived from it.
-    /// Reachability of regions changes with time alone.
+    /// Returns a number that grows with each change of the table, by which a caller can tell
+    /// whether a result derived from it is still valid. It does not cover the reachability of
+    /// regions, which changes with time alone.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.view.table.revision()
     }
 
-    /// Says whether callers may be sent to this VM, and spreads it if it is news.
+    /// Sets whether callers may be sent to this VM, and spreads a change at once.
     pub fn set_takes_callers(&mut self, now: Duration, takes: bool) -> Vec<MembershipOutput> {
         if self.view.own.takes_callers == takes {
             return Vec::new();
@@ -212,61 +222,62 @@
             .gossip(now, 2 * Self::GOSSIP_FAN_OUT, &mut self.rng)
     }
 
-    /// Sets the version of the configuration that this VM tells others.
+    /// Sets the version of the configuration that this VM advertises.
     pub fn set_version(&mut self, version: Version) {
         self.view.set_version(version);
     }
 
-    /// Sets the digest of withdrawn keys that this VM tells others.
+    /// Sets the digest of withdrawn keys that this VM advertises.
     pub fn set_withdrawals(&mut self, digest: u64) {
         self.view.withdrawals = digest;
     }
 
-    /// Does what is due.
+    /// Carries out the probes, timeouts, gossip and comparison of tables that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<MembershipOutput> {
         let mut outputs = Vec::new();
-        if let Some((vm, sent)) = self.prober.late(now) {
+        if let Some((vm, sent)) = self.prober.take_unanswered(now) {
             self.view
-                .ask_others(now, &vm, sent, &mut self.rng, &mut outputs);
+                .send_indirect_probes(now, &vm, sent, &mut self.rng, &mut outputs);
         }
         if now < self.next_tick {
             return outputs;
         }
-        self.next_tick = now + Self::TICK;
+        self.next_tick = now + Self::TICK_INTERVAL;
         self.round += 1;
         if self.round % 2 == 1 {
             self.finish_probe(now);
-            self.bury(now);
+            self.declare_expired_suspects_dead(now);
             self.view.ping_suspects(now, &mut outputs);
             self.start_probe(now, &mut outputs);
             self.view.probe_regions(now, &mut self.rng, &mut outputs);
-            self.contact_absent(now, &mut outputs);
+            self.ping_absent(now, &mut outputs);
         }
         if self.round.is_multiple_of(Self::FORGET_EVERY_ROUNDS) {
             self.view
                 .table
-                .forget_dead_before(now.saturating_sub(Self::FORGET_AFTER));
+                .forget_dead_before(now.saturating_sub(Self::FORGET_DEAD_AFTER));
         }
         if !self.view.updates.is_empty() {
             outputs.extend(self.view.gossip(now, Self::GOSSIP_FAN_OUT, &mut self.rng));
         }
-        if self.sync || self.round.is_multiple_of(Self::SYNC_EVERY_ROUNDS) {
-            self.sync = false;
+        if self.needs_sync || self.round.is_multiple_of(Self::SYNC_EVERY_ROUNDS) {
+            self.needs_sync = false;
             self.start_sync(now, &mut outputs);
         }
         outputs
     }
 
-    /// While this process stood still or heard nobody, others answered in vain. Without this, a VM
-    /// that thaws or is reached again takes for dead whom it suspected, before they can object; they
-    /// are probed anew instead.
-    fn after_silence(&mut self, now: Duration) {
-        self.prober.stop();
-        self.heard = now;
+    /// Drops the open probe and all suspicions after a time without any datagram. Answers that
+    /// other VMs sent meanwhile were lost. Without this, a VM that is resumed or reconnected would
+    /// declare its suspects dead before they can refute; they are probed anew instead.
+    fn recover_from_isolation(&mut self, now: Duration) {
+        self.prober.finish();
+        self.last_received = now;
         self.view.clear_suspicions();
     }
 
-    fn answer(
+    /// Updates the state by the message's body, and returns the answers to it.
+    fn handle_body(
         &mut self,
         now: Duration,
         from: &VmRecord,
@@ -275,12 +286,12 @@
         match body {
             MembershipBody::Ack { relay, sent_ms, vm } => {
                 let Some(prober) = relay else {
-                    self.take_ack(now, sent_ms, &vm);
+                    self.receive_ack(now, sent_ms, &vm);
                     return Vec::new();
                 };
                 let relay = None;
                 let body = MembershipBody::Ack { relay, sent_ms, vm };
-                vec![self.view.message(now, prober, None, body)]
+                vec![self.view.build_message(now, prober, None, body)]
             }
             MembershipBody::Gossip | MembershipBody::Records { more: false } => Vec::new(),
             MembershipBody::Ping { relay, sent_ms } => {
@@ -289,7 +300,7 @@
             MembershipBody::PingRequest { sent_ms, target } => {
                 let relay = Some(from.peer);
                 let body = MembershipBody::Ping { relay, sent_ms };
-                vec![self.view.message(now, target, None, body)]
+                vec![self.view.build_message(now, target, None, body)]
             }
             MembershipBody::Records { more: true } => {
                 let mut outputs = Vec::new();
@@ -302,23 +313,24 @@
         }
     }
 
-    /// Takes suspects of the own region for dead once their time is over. A VM that hears nobody
-    /// is itself the one that is cut off, and declares nothing.
-    fn bury(&mut self, now: Duration) {
-        if self.hears_nobody(now) {
+    /// Declares suspects of the own region dead once their timeout is over. An isolated VM declares
+    /// none dead, since it is itself the one that is cut off.
+    fn declare_expired_suspects_dead(&mut self, now: Duration) {
+        if self.is_isolated(now) {
             return;
         }
-        for mark in self.view.overdue_suspects(now) {
-            self.view.take(now, &MembershipUpdate::Dead(mark), true);
+        for id in self.view.expired_suspects(now) {
+            self.view
+                .merge_update(now, &MembershipUpdate::Dead(id), true);
         }
     }
 
-    /// Keeps trying whom nobody else tries: seeds that no known VM has the address of, and dead
-    /// VMs of the own region, which may only have been cut off.
-    fn contact_absent(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
+    /// Pings one VM that no regular probe covers: a seed address at which no known VM listens, or a
+    /// dead VM of the own region, which may only have been cut off.
+    fn ping_absent(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         const EVERY_ROUNDS: u64 = 10;
-        let alone = self.view.table.present_count() <= 1;
-        if !alone && self.round % EVERY_ROUNDS != 1 {
+        let is_alone = self.view.table.present_count() <= 1;
+        if !is_alone && self.round % EVERY_ROUNDS != 1 {
             return;
         }
         let dead = self
@@ -327,7 +339,7 @@
             .entries()
             .filter(|entry| entry.is_dead() && entry.record.region == self.view.own.region)
             .map(|entry| (Some(entry.record.vm.clone()), entry.record.peer));
-        let unknown = self.seeds.unknown(&self.view.table);
+        let unknown = self.seeds.of_unknown_vms(&self.view.table);
         let unknown = unknown.into_iter().map(|seed| (None, seed));
         let mut absent: Vec<_> = dead.chain(unknown).collect();
         if absent.is_empty() {
@@ -335,72 +347,82 @@
         }
         let (vm, to) = absent.swap_remove(self.rng.random_range(0..absent.len()));
         if let Some(vm) = vm {
-            self.view.tell_what_is_believed_of(now, &vm);
+            self.view.queue_state_of(now, &vm);
         }
         self.view.ping(now, to, None, outputs);
     }
 
+    /// Closes the open probe, and suspects its target if it has not answered.
     fn finish_probe(&mut self, now: Duration) {
-        let Some(target) = self.prober.stop() else {
+        let Some(target) = self.prober.finish() else {
             return;
         };
-        if !self.hears_nobody(now) {
+        if !self.is_isolated(now) {
             self.view
-                .take(now, &MembershipUpdate::Suspect(target), true);
+                .merge_update(now, &MembershipUpdate::Suspect(target), true);
         }
     }
 
-    fn hears_nobody(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) > Self::SILENCE
+    /// Returns whether no VM has been heard for longer than [`VmMembership::ISOLATION_TIMEOUT`].
+    fn is_isolated(&self, now: Duration) -> bool {
+        now.saturating_sub(self.last_received) > Self::ISOLATION_TIMEOUT
     }
 
+    /// Opens the next probe and pings its target.
     fn start_probe(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         let started = self
             .prober
-            .start(now, &self.view.table, &self.view.own, &mut self.rng);
+            .start_next(now, &self.view.table, &self.view.own, &mut self.rng);
         let Some(entry) = started.as_ref().and_then(|vm| self.view.table.get(vm)) else {
             return;
         };
         let VmRecord {
             peer, region, vm, ..
         } = entry.record.clone();
-        self.view.tell_what_is_believed_of(now, &vm);
+        self.view.queue_state_of(now, &vm);
         self.view.ping(now, peer, Some(&region), outputs);
     }
 
+    /// Sends the digests of the table to a random VM, in three of four cases one of the own region.
+    /// A VM that knows no other one sends them to a seed, and tries again at each tick until it
+    /// knows one.
     fn start_sync(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         let picked = match self.rng.random_range(0..4) {
             0 => self.view.table.pick_any(&mut self.rng),
-            _ => self.view.table.pick(&self.view.own.region, &mut self.rng),
+            _ => self
+                .view
+                .table
+                .pick_in_region(&self.view.own.region, &mut self.rng),
         };
         let digests = self.view.table.digests();
         match picked.filter(|entry| entry.record.vm != self.view.own.vm) {
             Some(entry) => {
                 let (to, region) = (entry.record.peer, entry.record.region.clone());
                 let body = MembershipBody::Sync { digests };
-                outputs.push(self.view.message(now, to, Some(&region), body));
+                outputs.push(self.view.build_message(now, to, Some(&region), body));
             }
-            None if self.view.table.present_count() > 1 => self.sync = true,
+            None if self.view.table.present_count() > 1 => self.needs_sync = true,
             None => {
-                self.sync = true;
+                self.needs_sync = true;
                 let Some(to) = self.seeds.pick(&mut self.rng) else {
                     return;
                 };
                 let body = MembershipBody::Sync { digests };
-                outputs.push(self.view.message(now, to, None, body));
+                outputs.push(self.view.build_message(now, to, None, body));
             }
         }
     }
 
-    /// An answer counts if it is to a probe of the last seconds: an older one proves nothing.
-    fn take_ack(&mut self, now: Duration, sent_ms: u64, vm: &VmId) {
-        if millis(now).saturating_sub(sent_ms) > millis(2 * Self::PROBE_EVERY) {
+    /// Records the answer to a probe. It counts only within two probe intervals of the probe: an
+    /// older answer does not show that the VM is alive now.
+    fn receive_ack(&mut self, now: Duration, sent_ms: u64, vm: &VmId) {
+        if millis(now).saturating_sub(sent_ms) > millis(2 * Self::PROBE_INTERVAL) {
             return;
         }
-        self.prober.answered(vm);
+        self.prober.record_answer(vm);
         let Some(entry) = self.view.table.get(vm) else {
             return;
         };
-        self.view.contacts.answered(now, &entry.record.region);
+        self.view.contacts.record_answer(now, &entry.record.region);
     }
 }
--- a/crates/ebonystand-core/src/vm_record.rs
+++ b/crates/ebonystand-core/src/vm_record.rs
@@ -1,54 +1,57 @@
 use super::*;
 
-/// What a VM says of itself.
+/// Self-description that a VM publishes by gossip.
 ///
-/// Only the VM itself writes a new one, with a higher `(incarnation, heartbeat)`. A copy that
-/// travels through others therefore never replaces a newer one.
+/// Only the VM itself publishes a new record, with a higher `(incarnation, heartbeat)`. A copy
+/// relayed by other VMs therefore never replaces a newer record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmRecord {
-    /// Where it takes requests that VMs of other regions forward, if it does.
+    /// Address where the VM takes requests forwarded by VMs of other regions, if it takes any.
     pub forwards: Option<SocketAddr>,
-    /// Counts the records of this incarnation.
+    /// Number of records published in this incarnation.
     pub heartbeat: u64,
-    /// It has a data folder and asks to be a member of the replicated log.
+    /// Whether the VM has a data folder and asks to be a member of the replicated log.
     pub holds_log: bool,
-    /// Where it listens for callers and operators.
+    /// Address where the VM listens for callers and operators.
     pub http: SocketAddr,
-    /// Grows with each start of the VM's process, for example its wall-clock time in milliseconds.
+    /// Number that grows with each start of the VM's process, for example its wall-clock time in
+    /// milliseconds.
     pub incarnation: Incarnation,
-    /// It finishes what it has and takes no new work.
+    /// Whether the VM finishes its open requests and takes no new work.
     pub leaving: bool,
-    /// Where it listens for other VMs.
+    /// Address where the VM listens for other VMs.
     pub peer: SocketAddr,
-    /// Region it stands in.
+    /// Region of the VM.
     pub region: RegionId,
-    /// Callers may be sent to it now.
+    /// Whether callers may be sent to the VM now.
     pub takes_callers: bool,
-    /// Version of the configuration in force on it when it last spoke to whoever holds the record.
+    /// Version of the configuration in force on the VM when it last sent a datagram to the holder
+    /// of this copy.
     pub version: Version,
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Availability zone it stands in.
+    /// Availability zone of the VM.
     pub zone: ZoneId,
 }
 
 impl VmRecord {
-    /// The record without what only matters to new VMs.
+    /// Returns the identifier of this record, which suffices for VMs that already hold it.
     #[must_use]
-    pub fn mark(&self) -> VmMark {
-        VmMark {
+    pub fn id(&self) -> VmRecordId {
+        VmRecordId {
             heartbeat: self.heartbeat,
             incarnation: self.incarnation,
             vm: self.vm.clone(),
         }
     }
 
-    pub(crate) fn age(&self) -> (Incarnation, u64) {
+    /// Returns the rank of the record among those of the same VM; the highest is the newest.
+    pub(crate) fn precedence(&self) -> (Incarnation, u64) {
         (self.incarnation, self.heartbeat)
     }
 
-    /// Encoded length in bytes, at most.
-    pub(crate) fn weight(&self) -> usize {
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
         text_weight(&self.region)
             + text_weight(&self.vm)
             + text_weight(&self.zone)
--- /dev/null
+++ b/crates/ebonystand-core/src/vm_record_id.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+/// Identifier of one version of a [`VmRecord`], without its content.
+#[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub struct VmRecordId {
+    /// [`VmRecord::heartbeat`] of the identified record.
+    pub heartbeat: u64,
+    /// [`VmRecord::incarnation`] of the identified record.
+    pub incarnation: Incarnation,
+    /// [`VmRecord::vm`] of the identified record.
+    pub vm: VmId,
+}
+
+impl VmRecordId {
+    /// Returns the rank of the record among those of the same VM; the highest is the newest.
+    pub(crate) fn precedence(&self) -> (Incarnation, u64) {
+        (self.incarnation, self.heartbeat)
+    }
+
+    /// Returns an upper bound of the encoded length in bytes.
+    pub(crate) fn max_encoded_len(&self) -> usize {
+        text_weight(&self.vm) + varint_weight(self.incarnation) + varint_weight(self.heartbeat)
+    }
+}
--- a/crates/ebonystand-core/src/vm_state.rs
+++ b/crates/ebonystand-core/src/vm_state.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// What a VM believes of another.
+/// State that one VM believes another to be in, apart from whether its region answers.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It answers.
+    /// The VM answers.
     #[display("alive")]
     Alive,
-    /// It has answered nobody of its region and has not objected.
+    /// The VM has answered no VM of its region and has not refuted the suspicion in time.
     #[display("dead")]
     Dead {
-        /// When this was learnt.
+        /// Time when this VM learned of it.
         since: Duration,
     },
-    /// It did not answer, and may still object.
+    /// The VM missed a probe, and may still refute the suspicion.
     #[display("suspect")]
     Suspect {
-        /// When this was learnt.
+        /// Time when this VM learned of it.
         since: Duration,
     },
 }
--- a/crates/ebonystand-core/src/vm_status.rs
+++ b/crates/ebonystand-core/src/vm_status.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// A VM as another sees it.
+/// Status of a VM as another VM sees it, shown to operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmStatus {
-    /// Whether it answers.
+    /// Health of the VM.
     pub health: VmHealth,
-    /// Where it listens for callers and operators.
+    /// Address where the VM listens for callers and operators.
     pub http: SocketAddr,
-    /// When it started, as a number that grows with each start.
+    /// Number that grows with each start of the VM.
     pub incarnation: Incarnation,
-    /// It takes no new work.
+    /// Whether the VM takes no new work.
     pub leaving: bool,
-    /// Where it listens for other VMs.
+    /// Address where the VM listens for other VMs.
     pub peer: SocketAddr,
-    /// Region it stands in.
+    /// Region of the VM.
     pub region: RegionId,
-    /// Version of the configuration in force on it when it was last heard.
+    /// Version of the configuration in force on the VM when it was last heard from.
     pub version: Version,
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Availability zone it stands in.
+    /// Availability zone of the VM.
     pub zone: ZoneId,
 }
--- a/crates/ebonystand-core/src/vm_table.rs
+++ b/crates/ebonystand-core/src/vm_table.rs
@@ -1,18 +1,19 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg, xxhash_rust::xxh3::xxh3_64_with_seed};
 
-/// The newest known record of each VM, with digests over buckets of them.
+/// Table of the newest known record of each VM, with digests over buckets of records.
 ///
-/// Two tables that hold equal records have equal digests. Dead VMs are in no digest, since they
-/// are forgotten at different times.
+/// Tables that hold equal records have equal digests. Dead VMs are left out of the digests, since
+/// each VM forgets them at another time.
 #[derive(Clone, Debug)]
 pub(crate) struct VmTable {
-    /// VMs of each bucket, dead ones included.
+    /// Names of the VMs in each bucket, dead ones included.
     buckets: Vec<Vec<VmId>>,
+    /// XOR of the hashes of the records in each bucket, dead VMs left out.
     digests: Vec<u16>,
     entries: BTreeMap<VmId, VmEntry>,
-    /// VMs that are not dead.
+    /// Names of the VMs of each region that are not dead.
     present: BTreeMap<RegionId, Vec<VmId>>,
-    /// Grows with each change of what is known.
+    /// Number that grows with each change of the table.
     revision: u64,
 }
 
@@ -29,13 +30,13 @@
 }
 
 impl VmTable {
-    /// Buckets of the digest: at 2,200 VMs about nine records stand in each, which one datagram
+    /// Number of buckets. With 2,200 VMs a bucket holds about nine records, which one datagram
     /// carries.
     pub(crate) const BUCKETS: usize = 256;
-    /// VMs that are held at most, four times the size designed for.
+    /// Maximum number of VMs in the table: four times the size that the system is designed for.
     pub(crate) const CAPACITY: usize = 8_800;
 
-    /// Digests of all buckets, two bytes each.
+    /// Returns the digests of all buckets, two little-endian bytes each.
     pub(crate) fn digests(&self) -> Box<[u8]> {
         self.digests
             .iter()
@@ -43,8 +44,9 @@
             .collect()
     }
 
-    /// Buckets whose digest differs from those of another table; all if they are malformed.
-    pub(crate) fn differing(&self, digests: &[u8]) -> Vec<usize> {
+    /// Returns the buckets whose digest differs from that of another table; a bucket that is
+    /// missing in `digests` counts as differing.
+    pub(crate) fn differing_buckets(&self, digests: &[u8]) -> Vec<usize> {
         let other = |bucket: usize| digests.get(2 * bucket..2 * bucket + 2);
         (0..Self::BUCKETS)
             .filter(|bucket| other(*bucket) != Some(self.digests[*bucket].to_le_bytes().as_slice()))
@@ -55,7 +57,7 @@
         self.entries.values()
     }
 
-    /// Forgets the VMs that have been dead since before `limit`.
+    /// Forgets the VMs that were declared dead before `limit`.
     pub(crate) fn forget_dead_before(&mut self, limit: Duration) {
         let is_overdue =
             |entry: &&VmEntry| matches!(entry.state, VmState::Dead { since } if since < limit);
@@ -75,21 +77,19 @@
         self.entries.get_mut(vm)
     }
 
-    /// Takes over news; whether it was new.
+    /// Merges an update into the table, and returns whether it was new.
     pub(crate) fn merge(&mut self, now: Duration, update: &MembershipUpdate) -> bool {
         let fresh = match update {
             MembershipUpdate::Alive(record) => self.merge_alive(record),
-            MembershipUpdate::Dead(mark) => self.merge_state(mark, VmState::Dead { since: now }),
-            MembershipUpdate::Suspect(mark) => {
-                self.merge_state(mark, VmState::Suspect { since: now })
-            }
+            MembershipUpdate::Dead(id) => self.merge_state(id, VmState::Dead { since: now }),
+            MembershipUpdate::Suspect(id) => self.merge_state(id, VmState::Suspect { since: now }),
         };
         self.revision += u64::from(fresh);
         fresh
     }
 
-    /// A VM of `region` that is not dead.
-    pub(crate) fn pick(&self, region: &str, rng: &mut Pcg64Mcg) -> Option<&VmEntry> {
+    /// Returns a random VM of `region` that is not dead.
+    pub(crate) fn pick_in_region(&self, region: &str, rng: &mut Pcg64Mcg) -> Option<&VmEntry> {
         let present = self.present.get(region)?;
         if present.is_empty() {
             return None;
@@ -97,7 +97,7 @@
         self.get(&present[rng.random_range(0..present.len())])
     }
 
-    /// A VM of any region that is not dead.
+    /// Returns a random VM of any region that is not dead.
     pub(crate) fn pick_any(&self, rng: &mut Pcg64Mcg) -> Option<&VmEntry> {
         let count: usize = self.present.values().map(Vec::len).sum();
         if count == 0 {
@@ -113,17 +113,17 @@
         None
     }
 
-    /// VMs of `region` that are not dead.
-    pub(crate) fn present(&self, region: &str) -> &[VmId] {
+    /// Returns the VMs of `region` that are not dead.
+    pub(crate) fn present_in_region(&self, region: &str) -> &[VmId] {
         self.present.get(region).map_or(&[], Vec::as_slice)
     }
 
-    /// VMs that are not dead.
+    /// Returns the number of VMs that are not dead.
     pub(crate) fn present_count(&self) -> usize {
         self.present.values().map(Vec::len).sum()
     }
 
-    /// Regions that have had a VM.
+    /// Iterates over the regions that have, or once had, a VM.
     pub(crate) fn regions(&self) -> impl Iterator<Item = &RegionId> {
         self.present.keys()
     }
@@ -132,13 +132,13 @@
         self.revision
     }
 
-    /// News for each record of a bucket.
-    pub(crate) fn updates_of(&self, bucket: usize) -> Vec<MembershipUpdate> {
+    /// Returns an update for each record of a bucket.
+    pub(crate) fn bucket_updates(&self, bucket: usize) -> Vec<MembershipUpdate> {
         self.buckets[bucket]
             .iter()
             .filter_map(|vm| self.entries.get(vm))
             .map(|entry| match entry.state {
-                VmState::Dead { .. } => MembershipUpdate::Dead(entry.record.mark()),
+                VmState::Dead { .. } => MembershipUpdate::Dead(entry.record.id()),
                 VmState::Alive | VmState::Suspect { .. } => {
                     MembershipUpdate::Alive(entry.record.clone())
                 }
@@ -146,12 +146,14 @@
             .collect()
     }
 
-    fn drop_present(&mut self, region: &str, vm: &str) {
+    fn remove_present(&mut self, region: &str, vm: &str) {
         if let Some(present) = self.present.get_mut(region) {
             present.retain(|other| &**other != vm);
         }
     }
 
+    /// Stores `record` if it is newer than the known one, and returns whether it was. Of an equal
+    /// record only a higher configuration version is taken over.
     fn merge_alive(&mut self, record: &VmRecord) -> bool {
         let vm = &record.vm;
         let Some(entry) = self.entries.get_mut(vm) else {
@@ -161,8 +163,8 @@
             self.insert(record.clone(), false);
             return true;
         };
-        if record.age() <= entry.record.age() {
-            let same = record.age() == entry.record.age();
+        if record.precedence() <= entry.record.precedence() {
+            let same = record.precedence() == entry.record.precedence();
             if same && record.version > entry.record.version {
                 entry.record.version = record.version;
             }
@@ -178,7 +180,7 @@
 
     fn insert(&mut self, record: VmRecord, hinted_leaving: bool) {
         let vm = record.vm.clone();
-        self.toggle(&record.mark());
+        self.toggle_digest(&record.id());
         let present = self.present.entry(record.region.clone()).or_default();
         present.push(vm.clone());
         let entry = VmEntry {
@@ -186,57 +188,61 @@
             record,
             state: VmState::Alive,
         };
-        self.put(vm, entry);
+        self.store(vm, entry);
     }
 
-    /// A suspicion or a death of a record at least as new as the known one counts.
-    fn merge_state(&mut self, mark: &VmMark, state: VmState) -> bool {
-        let Some(entry) = self.entries.get(&mark.vm) else {
+    /// Merges a suspicion or a death, and returns whether it was new. It counts only if it concerns
+    /// a record at least as new as the known one.
+    fn merge_state(&mut self, id: &VmRecordId, state: VmState) -> bool {
+        let Some(entry) = self.entries.get(&id.vm) else {
             return false;
         };
-        if mark.age() < entry.record.age() || entry.is_dead() && mark.age() == entry.record.age() {
+        if id.precedence() < entry.record.precedence()
+            || entry.is_dead() && id.precedence() == entry.record.precedence()
+        {
             return false;
         }
         let suspect = matches!(state, VmState::Suspect { .. });
-        if suspect && mark.age() == entry.record.age() && entry.state != VmState::Alive {
+        if suspect && id.precedence() == entry.record.precedence() && entry.state != VmState::Alive
+        {
             return false;
         }
         let mut entry = entry.clone();
         self.remove(&entry);
-        entry.record.heartbeat = mark.heartbeat;
-        entry.record.incarnation = mark.incarnation;
+        entry.record.heartbeat = id.heartbeat;
+        entry.record.incarnation = id.incarnation;
         if suspect {
             self.insert(entry.record, entry.hinted_leaving);
-            if let Some(entry) = self.entries.get_mut(&mark.vm) {
+            if let Some(entry) = self.entries.get_mut(&id.vm) {
                 entry.state = state;
             }
             return true;
         }
         entry.state = state;
-        self.put(mark.vm.clone(), entry);
+        self.store(id.vm.clone(), entry);
         true
     }
 
-    fn put(&mut self, vm: VmId, entry: VmEntry) {
+    fn store(&mut self, vm: VmId, entry: VmEntry) {
         self.buckets[bucket(&vm)].push(vm.clone());
         self.entries.insert(vm, entry);
     }
 
     fn remove(&mut self, entry: &VmEntry) {
         if !entry.is_dead() {
-            self.toggle(&entry.record.mark());
-            self.drop_present(&entry.record.region, &entry.record.vm);
+            self.toggle_digest(&entry.record.id());
+            self.remove_present(&entry.record.region, &entry.record.vm);
         }
         let vm = &entry.record.vm;
         self.buckets[bucket(vm)].retain(|other| other != vm);
         self.entries.remove(vm);
     }
 
-    /// Adds a record to the digest of its bucket, or takes it out.
-    fn toggle(&mut self, mark: &VmMark) {
-        let seed = mark.incarnation.rotate_left(32) ^ mark.heartbeat;
-        let digest = xxh3_64_with_seed(mark.vm.as_bytes(), seed) as u16;
-        self.digests[bucket(&mark.vm)] ^= digest;
+    /// Adds a record to the digest of its bucket, or removes it from there; XOR does either.
+    fn toggle_digest(&mut self, id: &VmRecordId) {
+        let seed = id.incarnation.rotate_left(32) ^ id.heartbeat;
+        let digest = xxh3_64_with_seed(id.vm.as_bytes(), seed) as u16;
+        self.digests[bucket(&id.vm)] ^= digest;
     }
 }
 
--- a/crates/ebonystand-core/tests/common/feeds.rs
+++ b/crates/ebonystand-core/tests/common/feeds.rs
@@ -190,7 +190,7 @@
             return;
         }
         let withdrawals = Withdrawals::digest(self.vms[other].feed.withdrawals());
-        let input = FeedInput::Heard {
+        let input = FeedInput::PeerVersion {
             version: self.version(other),
             vm: name(other),
             withdrawals,
--- a/crates/ebonystand-core/tests/common/vms.rs
+++ b/crates/ebonystand-core/tests/common/vms.rs
@@ -1,4 +1,5 @@
-//! VMs that exchange membership datagrams over a simulated network.
+//! Simulated fleet of VMs that exchange membership datagrams over a network with delay, loss and
+//! partitions.
 
 use {
     ebonystand_core::{MembershipOutput, VmEntry, VmMembership, VmRecord, VmState},
@@ -9,27 +10,35 @@
     },
 };
 
-/// Delay of a datagram.
+/// Time that each datagram takes to arrive.
 const DELAY: Duration = Duration::from_millis(20);
+/// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(20);
 
-/// A fleet in regions `r0`, `r1` and so on, VM `n` standing in region `n % regions`.
-pub struct Vms {
-    pub cut: BTreeSet<(usize, usize)>,
-    /// VMs whose network is cut.
+/// Fleet in regions `r0`, `r1` and so on, in which VM `n` is in region `n % regions`.
+pub struct VmFleet {
+    /// Pairs of regions whose datagrams from the first to the second are lost.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// VMs that can neither send nor receive.
     pub isolated: BTreeSet<usize>,
-    /// One datagram in so many is lost; 0: none.
+    /// Every datagram of which the number is a multiple of this is lost; 0 loses none.
     pub loss_one_in: u64,
     pub now: Duration,
+    /// Bytes received by all VMs since the last reset.
     pub received: u64,
+    /// Bytes sent by all VMs since the last reset.
     pub sent: u64,
+    /// VMs that are suspended.
     pub stopped: BTreeSet<usize>,
     pub vms: Vec<VmMembership>,
+    /// Number of datagrams that have reached the end of their delay.
     delivered: u64,
-    flying: BTreeMap<Duration, Vec<(usize, usize, Vec<u8>)>>,
+    /// Datagrams by time of arrival, as sender, receiver and content.
+    in_flight: BTreeMap<Duration, Vec<(usize, usize, Vec<u8>)>>,
     regions: usize,
 }
 
+/// Returns the peer address of a VM, which encodes its number.
 pub fn address(vm: usize) -> SocketAddr {
     let (high, low) = ((vm / 250) as u8, (vm % 250) as u8);
     ([10, 0, high, low], 7_000).into()
@@ -39,6 +48,7 @@
     format!("vm-{vm:04}").into()
 }
 
+/// Returns the first record that a VM publishes.
 pub fn record(vm: usize, regions: usize) -> VmRecord {
     VmRecord {
         forwards: None,
@@ -56,7 +66,7 @@
     }
 }
 
-impl Vms {
+impl VmFleet {
     pub fn new(count: usize, regions: usize) -> Self {
         let seeds: Vec<_> = (0..3).map(address).collect();
         let vms = (0..count)
@@ -66,8 +76,8 @@
             })
             .collect();
         Self {
-            cut: BTreeSet::new(),
-            flying: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
             delivered: 0,
             isolated: BTreeSet::new(),
             loss_one_in: 0,
@@ -80,7 +90,7 @@
         }
     }
 
-    /// VMs that hold `check` of VM `of` to be true, of those that run.
+    /// Counts the running VMs, other than `of`, for which `check` holds on their entry of VM `of`.
     pub fn count(&self, of: usize, check: impl Fn(&VmMembership, &VmEntry) -> bool) -> usize {
         let running = (0..self.vms.len()).filter(|vm| !self.stopped.contains(vm));
         running
@@ -90,22 +100,25 @@
             .count()
     }
 
-    /// Bytes that a VM sent and received a second, since the last reset.
+    /// Returns the mean bytes per second that a VM sent and received in the `time` since the last
+    /// reset.
     pub fn bytes_each(&self, time: Duration) -> u64 {
         let each = (self.sent + self.received) / self.vms.len() as u64;
         (each as f64 / time.as_secs_f64()) as u64
     }
 
+    /// Resets the counters of bytes.
     pub fn reset(&mut self) {
         (self.sent, self.received) = (0, 0);
     }
 
-    /// VMs in the live list of `vm`.
+    /// Returns the number of VMs in the live list of `vm`.
     pub fn live(&self, vm: usize) -> usize {
         self.vms[vm].live(self.now).count()
     }
 
-    pub fn put(&mut self, from: usize, outputs: Vec<MembershipOutput>) {
+    /// Puts the datagrams among `outputs` on the network.
+    pub fn send(&mut self, from: usize, outputs: Vec<MembershipOutput>) {
         for output in outputs {
             let MembershipOutput::Send { message, to } = output else {
                 continue;
@@ -117,14 +130,14 @@
             };
             let to = usize::from(ip.octets()[2]) * 250 + usize::from(ip.octets()[3]);
             self.sent += bytes.len() as u64;
-            self.flying
+            self.in_flight
                 .entry(self.now + DELAY)
                 .or_default()
                 .push((from, to, bytes));
         }
     }
 
-    /// Runs until `done` or for `limit`; how long it took.
+    /// Runs until `done` holds or `limit` has passed, and returns the time taken if `done` holds.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now < start + limit {
@@ -136,24 +149,28 @@
         done(self).then(|| self.now - start)
     }
 
+    /// Advances the simulation by `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            let later = self.flying.split_off(&(self.now + Duration::from_nanos(1)));
-            let due = std::mem::replace(&mut self.flying, later);
+            let later = self
+                .in_flight
+                .split_off(&(self.now + Duration::from_nanos(1)));
+            let due = std::mem::replace(&mut self.in_flight, later);
             for (from, to, bytes) in due.into_values().flatten() {
                 self.deliver(from, to, &bytes);
             }
             for vm in 0..self.vms.len() {
                 if !self.stopped.contains(&vm) && self.vms[vm].deadline() <= self.now {
                     let outputs = self.vms[vm].tick(self.now);
-                    self.put(vm, outputs);
+                    self.send(vm, outputs);
                 }
             }
         }
     }
 
+    /// Delivers a datagram, unless it is lost or its receiver is stopped or out of reach.
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         self.delivered += 1;
         if self.loss_one_in > 0 && self.delivered.is_multiple_of(self.loss_one_in) {
@@ -163,17 +180,17 @@
             return;
         }
         let link = (from % self.regions, to % self.regions);
-        if self.cut.contains(&link) || self.stopped.contains(&to) || to >= self.vms.len() {
+        if self.cut_links.contains(&link) || self.stopped.contains(&to) || to >= self.vms.len() {
             return;
         }
         self.received += bytes.len() as u64;
         let message = postcard::from_bytes(bytes).expect("it decodes");
         let outputs = self.vms[to].receive(self.now, message);
-        self.put(to, outputs);
+        self.send(to, outputs);
     }
 }
 
-/// Whether the entry is neither dead nor suspect.
+/// Returns whether the entry is neither dead nor suspect.
 pub fn is_alive(_: &VmMembership, entry: &VmEntry) -> bool {
     entry.state == VmState::Alive
 }
--- a/crates/ebonystand-core/tests/vm_membership.rs
+++ b/crates/ebonystand-core/tests/vm_membership.rs
@@ -1,4 +1,4 @@
-//! Gossip of the fleet's VMs.
+//! Tests of the gossip protocol by which VMs track which of them are live.
 
 #[path = "common/vms.rs"]
 mod vms;
@@ -7,21 +7,22 @@
     ebonystand_core::{MembershipBody, MembershipMessage, VmEntry, VmHint, VmMembership, VmState},
     rstest::rstest,
     std::time::Duration,
-    vms::{Vms, address, is_alive, name, record},
+    vms::{VmFleet, address, is_alive, name, record},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn settled(count: usize, regions: usize) -> Vms {
-    let mut vms = Vms::new(count, regions);
-    let all = |vms: &Vms| (0..count).all(|vm| vms.live(vm) == count);
+/// Starts a fleet and runs it until every VM sees all VMs as live.
+fn settled(count: usize, regions: usize) -> VmFleet {
+    let mut vms = VmFleet::new(count, regions);
+    let all = |vms: &VmFleet| (0..count).all(|vm| vms.live(vm) == count);
     let took = vms.run_until(60 * SECOND, all);
     assert!(took.is_some(), "not all know all after a minute");
     vms
 }
 
-/// What a VM sends and receives must not grow with the fleet, and what changes must be known
-/// everywhere within 9 s, at 9 VMs as at 2,200. Prints the figures.
+/// Guards against traffic per VM that grows with the fleet, and against changes that take longer
+/// than 9 s to reach every VM, at 9 VMs as at 2,200. The figures are printed.
 #[rstest]
 #[case(9, 3)]
 #[case(100, 5)]
@@ -34,7 +35,7 @@
     let quiet = vms.bytes_each(10 * SECOND);
 
     let outputs = vms.vms[1].leave(vms.now);
-    vms.put(1, outputs);
+    vms.send(1, outputs);
     let left = vms.run_until(30 * SECOND, |vms| {
         vms.count(1, |_, entry| entry.is_leaving()) == count - 1
     });
@@ -50,7 +51,7 @@
     assert!(left.max(dropped) <= 9 * SECOND);
 }
 
-/// Some datagrams are lost. That must not make a VM that answers dead for anybody.
+/// Guards against a VM that answers being declared dead because some datagrams are lost.
 #[rstest]
 fn lost_datagrams_kill_nobody(#[values(5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15)] loss_one_in: u64) {
     let mut vms = settled(100, 5);
@@ -61,27 +62,28 @@
     }
 }
 
-/// Two regions lose each other. Callers of each must be sent to its own VMs only, no VM may be
-/// forgotten or declared dead, and after the heal the live list is whole within seconds.
+/// Region 1 is partitioned from the other regions. Callers must be sent only to VMs on their own
+/// side, no VM may be forgotten or declared dead, and the live list must be complete within seconds
+/// after the partition heals.
 #[test]
 fn a_cut_region_is_unreachable_and_not_dead() {
     let mut vms = settled(9, 3);
-    vms.cut = [(0, 1), (1, 0), (1, 2), (2, 1)].into();
+    vms.cut_links = [(0, 1), (1, 0), (1, 2), (2, 1)].into();
     vms.run(60 * SECOND);
     assert_eq!((vms.live(0), vms.live(1)), (6, 3));
     assert_eq!(vms.count(1, is_alive), 8);
     assert_eq!(vms.vms[0].entries().count(), 9);
-    vms.cut.clear();
+    vms.cut_links.clear();
     let healed = vms.run_until(30 * SECOND, |vms| (0..9).all(|vm| vms.live(vm) == 9));
     assert!(healed.is_some_and(|took| took <= 5 * SECOND), "{healed:?}");
 }
 
-/// Datagrams from region 0 to region 1 are lost, and those the other way arrive. Requests sent
-/// across would have no answer, so both sides must take the other for unreachable.
+/// Datagrams from region 0 to region 1 are lost, while those in the other direction arrive. A
+/// request across would get no answer, so each side must treat the other as unreachable.
 #[test]
 fn a_region_cut_one_way_is_unreachable_from_both_sides() {
     let mut vms = settled(9, 3);
-    vms.cut = [(0, 1)].into();
+    vms.cut_links = [(0, 1)].into();
     vms.run(30 * SECOND);
     assert_eq!((vms.live(0), vms.live(1), vms.live(2)), (6, 6, 9));
 }
@@ -90,8 +92,8 @@
     !matches!(entry.state, VmState::Dead { .. })
 }
 
-/// For ten seconds nobody takes a VM other than `but` for dead.
-fn others_stay_alive(vms: &mut Vms, but: usize) {
+/// Checks for ten seconds that no VM declares a VM other than `but` dead.
+fn others_stay_alive(vms: &mut VmFleet, but: usize) {
     for _ in 0..100 {
         vms.run(Duration::from_millis(100));
         let others = (0..vms.vms.len()).filter(|vm| *vm != but);
@@ -99,8 +101,8 @@
     }
 }
 
-/// A VM stands still for a minute while the others go on, and then goes on itself. It must not
-/// take the others for dead, and they must take it back.
+/// A VM is suspended for a minute and then resumed. It must not declare the other VMs dead, and
+/// they must see it as alive again.
 #[test]
 fn a_vm_that_stood_still_declares_nobody_dead() {
     let mut vms = settled(9, 1);
@@ -112,8 +114,8 @@
     assert_eq!(vms.count(3, is_alive), 8);
 }
 
-/// A VM's network is cut, and it hears nobody. It must not declare the rest dead, which it would
-/// spread after the heal; until then it has only itself.
+/// A VM loses its network and receives nothing. It must not declare the other VMs dead, since it
+/// would spread that once the network is back; until then only it is in its live list.
 #[test]
 fn a_vm_that_hears_nobody_declares_nobody_dead() {
     let mut vms = settled(9, 1);
@@ -125,8 +127,8 @@
     assert_eq!(vms.count(3, is_alive), 8);
 }
 
-/// A VM restarts under a new incarnation while datagrams of the old one are still on their way.
-/// The old record must not replace the new one, or callers are sent to a wrong address.
+/// A VM restarts under a new incarnation while datagrams of the old one are still in flight. The
+/// old record must not replace the new one, or callers are sent to a wrong address.
 #[rstest]
 #[case::older_incarnation(-1, 9, 0)]
 #[case::older_heartbeat(0, 0, 0)]
@@ -137,7 +139,7 @@
     #[case] heartbeat: u64,
     #[case] taken: u64,
 ) {
-    let mut vms = Vms::new(2, 1);
+    let mut vms = VmFleet::new(2, 1);
     let mut known = record(5, 1);
     known.heartbeat = 1;
     let mut other = known.clone();
@@ -159,7 +161,7 @@
 }
 
 /// The platform's list lags. A VM that it shows as leaving gets no new work, and an unknown one is
-/// contacted, but the list alone neither adds nor removes a VM.
+/// contacted, but the list alone must neither add nor remove a VM.
 #[test]
 fn the_platforms_list_is_a_hint() {
     let mut vms = settled(3, 1);
@@ -168,7 +170,7 @@
         peer: address(vm),
         vm: name(vm),
     };
-    vms.vms[0].hint(&[hint(1, true), hint(7, false)]);
+    vms.vms[0].apply_hints(&[hint(1, true), hint(7, false)]);
     let leaving: Vec<_> = vms.vms[0]
         .live(vms.now)
         .filter(|vm| vm.is_leaving())
@@ -179,8 +181,8 @@
     assert_eq!(vms.live(0), 3);
 }
 
-/// A dead VM is forgotten after an hour, and not before: its record stops an old one that is still
-/// on its way from bringing it back.
+/// A dead VM is forgotten after an hour, and not before: its record prevents an older one that is
+/// still in flight from reviving it.
 #[test]
 fn a_dead_vm_is_forgotten_after_an_hour() {
     let mut vms = settled(3, 1);
--- a/crates/ebonystand/src/membership_controller.rs
+++ b/crates/ebonystand/src/membership_controller.rs
@@ -1,7 +1,8 @@
 use super::*;
 use {
     ebonystand_core::{
-        FeedInput, Liveness, MembershipMessage, MembershipOutput, VmEntry, VmMembership, VmRecord,
+        FeedInput, LivenessSnapshot, MembershipMessage, MembershipOutput, VmEntry, VmMembership,
+        VmRecord,
     },
     node::Node,
     state_controller::StateController,
@@ -12,7 +13,7 @@
 /// Holds what is known of the other VMs, and exchanges it with them in datagrams.
 pub(crate) struct MembershipController {
     /// The live VMs with what they were derived from.
-    live: RefCell<Option<(Liveness, Rc<[VmEntry]>)>>,
+    live: RefCell<Option<(LivenessSnapshot, Rc<[VmEntry]>)>>,
     membership: RefCell<VmMembership>,
     socket: UdpSocket,
 }
@@ -42,7 +43,7 @@
     /// Live VMs; the same allocation until one comes, goes or changes.
     pub(crate) fn live(&self, now: Duration) -> Rc<[VmEntry]> {
         let membership = self.membership.borrow();
-        let liveness = membership.liveness(now);
+        let liveness = membership.liveness_snapshot(now);
         let mut known = self.live.borrow_mut();
         match &*known {
             Some((since, live)) if *since == liveness => Rc::clone(live),
@@ -121,7 +122,7 @@
     pub(crate) fn set_takes_callers(node: &Rc<Node>, takes: bool) {
         let now = node.clock.now();
         let mut membership = node.membership.membership.borrow_mut();
-        let is_news = membership.own().takes_callers != takes;
+        let is_news = membership.own_record().takes_callers != takes;
         let outputs = membership.set_takes_callers(now, takes);
         drop(membership);
         if is_news {
@@ -203,13 +204,13 @@
     fn take(node: &Rc<Node>, outputs: Vec<MembershipOutput>) {
         for output in outputs {
             match output {
-                MembershipOutput::Heard {
+                MembershipOutput::PeerVersion {
                     version,
                     vm,
                     withdrawals,
                 } => StateController::step(
                     node,
-                    FeedInput::Heard {
+                    FeedInput::PeerVersion {
                         version,
                         vm,
                         withdrawals,
