--- a/crates/ebonystand-core/src/liveness_snapshot.rs
+++ b/crates/ebonystand-core/src/liveness_snapshot.rs
@@ -3,7 +3,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LivenessSnapshot {
     pub(crate) is_isolated: bool,
-    /// Whether each region is reachable, ordered by region name.
+    /// Whether each region answers, in the order of their names.
     pub(crate) reachable: Box<[bool]>,
     pub(crate) revision: u64,
 }
--- a/crates/ebonystand-core/src/membership/membership_view.rs
+++ b/crates/ebonystand-core/src/membership/membership_view.rs
@@ -333,18 +333,19 @@
     /// death, and supersedes records of an earlier start of this VM. The latter matters when the
     /// wall clock, from which the incarnation is taken, went back between the two starts.
     fn refute(&mut self, now: Duration, update: &MembershipUpdate) {
-        let (precedence, alive) = match update {
-            MembershipUpdate::Alive(record) => (record.precedence(), *record == self.own),
-            MembershipUpdate::Dead(id) | MembershipUpdate::Suspect(id) => (id.precedence(), false),
+        let (epoch, alive) = match update {
+            MembershipUpdate::Alive(record) => (record.epoch(), *record == self.own),
+            MembershipUpdate::Dead(id) | MembershipUpdate::Suspect(id) => (id.epoch(), false),
         };
-        let same = matches!(update, MembershipUpdate::Alive(record) if record.precedence() == self.own.precedence());
-        if precedence < self.own.precedence() || alive || same {
+        let same =
+            matches!(update, MembershipUpdate::Alive(record) if record.epoch() == self.own.epoch());
+        if epoch < self.own.epoch() || alive || same {
             return;
         }
-        if precedence.0 > self.own.incarnation {
-            self.own.incarnation = precedence.0 + 1;
+        if epoch.0 > self.own.incarnation {
+            self.own.incarnation = epoch.0 + 1;
         }
-        self.own.heartbeat = self.own.heartbeat.max(precedence.1);
+        self.own.heartbeat = self.own.heartbeat.max(epoch.1);
         self.announce(now);
     }
 
--- a/crates/ebonystand-core/src/membership/update_queue.rs
+++ b/crates/ebonystand-core/src/membership/update_queue.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpdateQueue {
     /// Sequence number of the last update that was queued.
-    next_sequence: u64,
+    last_sequence: u64,
     updates: BTreeMap<VmId, QueuedUpdate>,
 }
 
@@ -34,9 +34,9 @@
 
     /// Queues an update in place of any older one about the same VM.
     pub(crate) fn push(&mut self, now: Duration, update: MembershipUpdate) {
-        self.next_sequence += 1;
+        self.last_sequence += 1;
         let queued = QueuedUpdate {
-            sequence: self.next_sequence,
+            sequence: self.last_sequence,
             queued_at: now,
             transmissions: 0,
             update,
--- a/crates/ebonystand-core/src/seed_addresses.rs
+++ b/crates/ebonystand-core/src/seed_addresses.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the addresses at which no known VM listens.
-    pub(crate) fn of_unknown_vms(&self, table: &VmTable) -> Vec<SocketAddr> {
+    pub(crate) fn unknown_addresses(&self, table: &VmTable) -> Vec<SocketAddr> {
         let peers: BTreeSet<_> = table.entries().map(|entry| entry.record.peer).collect();
         self.others()
             .filter(|address| !peers.contains(address))
--- a/crates/ebonystand-core/src/vm_membership.rs
+++ b/crates/ebonystand-core/src/vm_membership.rs
@@ -23,6 +23,7 @@
     next_tick: Duration,
     prober: Prober,
     rng: Pcg64Mcg,
+    /// Number of rounds so far; each tick that is due starts one.
     round: u64,
     seeds: SeedAddresses,
     /// Whether the next tick compares digests with another VM without waiting for its turn.
@@ -51,9 +52,9 @@
     /// Time between two calls of [`VmMembership::tick`] that start a new round.
     pub const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-    /// Number of ticks between two removals of VMs that have been dead for too long.
+    /// Number of rounds between two removals of VMs that have been dead for too long.
     const FORGET_EVERY_ROUNDS: u64 = 60;
-    /// Number of ticks between two comparisons of digests with another VM.
+    /// Number of rounds between two comparisons of digests with another VM.
     const SYNC_EVERY_ROUNDS: u64 = 20;
 
     /// Creates the membership of a VM that knows only its own record and the addresses of `seeds`.
@@ -339,7 +340,7 @@
             .entries()
             .filter(|entry| entry.is_dead() && entry.record.region == self.view.own.region)
             .map(|entry| (Some(entry.record.vm.clone()), entry.record.peer));
-        let unknown = self.seeds.of_unknown_vms(&self.view.table);
+        let unknown = self.seeds.unknown_addresses(&self.view.table);
         let unknown = unknown.into_iter().map(|seed| (None, seed));
         let mut absent: Vec<_> = dead.chain(unknown).collect();
         if absent.is_empty() {
--- a/crates/ebonystand-core/src/vm_record.rs
+++ b/crates/ebonystand-core/src/vm_record.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns the rank of the record among those of the same VM; the highest is the newest.
-    pub(crate) fn precedence(&self) -> (Incarnation, u64) {
+    /// Returns the pair that orders the records of one VM; the highest is the newest.
+    pub(crate) fn epoch(&self) -> (Incarnation, u64) {
         (self.incarnation, self.heartbeat)
     }
 
--- a/crates/ebonystand-core/src/vm_table.rs
+++ b/crates/ebonystand-core/src/vm_table.rs
@@ -163,8 +163,8 @@
             self.insert(record.clone(), false);
             return true;
         };
-        if record.precedence() <= entry.record.precedence() {
-            let same = record.precedence() == entry.record.precedence();
+        if record.epoch() <= entry.record.epoch() {
+            let same = record.epoch() == entry.record.epoch();
             if same && record.version > entry.record.version {
                 entry.record.version = record.version;
             }
@@ -197,14 +197,13 @@
         let Some(entry) = self.entries.get(&id.vm) else {
             return false;
         };
-        if id.precedence() < entry.record.precedence()
-            || entry.is_dead() && id.precedence() == entry.record.precedence()
+        if id.epoch() < entry.record.epoch()
+            || entry.is_dead() && id.epoch() == entry.record.epoch()
         {
             return false;
         }
         let suspect = matches!(state, VmState::Suspect { .. });
-        if suspect && id.precedence() == entry.record.precedence() && entry.state != VmState::Alive
-        {
+        if suspect && id.epoch() == entry.record.epoch() && entry.state != VmState::Alive {
             return false;
         }
         let mut entry = entry.clone();
@@ -246,6 +245,7 @@
     }
 }
 
+/// Returns the bucket that holds the record of `vm`.
 fn bucket(vm: &str) -> usize {
     xxhash_rust::xxh3::xxh3_64(vm.as_bytes()) as usize % VmTable::BUCKETS
 }
