--- a/crates/ebonystand-core/src/accepted_change.rs
+++ b/crates/ebonystand-core/src/accepted_change.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A change of the configuration with the version that it made.
+/// Accepted change of the configuration, with the version that it made.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AcceptedChange {
-    /// The change.
+    /// Change that was applied.
     pub change: Change,
-    /// Version that it made.
+    /// Version of the document after the change.
     pub version: Version,
 }
--- a/crates/ebonystand-core/src/catalog.rs
+++ b/crates/ebonystand-core/src/catalog.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The configuration as a state machine: equal changes in equal order give equal catalogs on
+/// State machine of the configuration. The same changes in the same order give equal catalogs on
 /// every VM.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Catalog {
@@ -10,37 +10,37 @@
 }
 
 impl Catalog {
-    /// Outcomes that are remembered for resends. A resend that comes later meets a conflict,
-    /// since each change but a withdrawal names the version it expects, so it never runs twice.
-    pub const REMEMBERED: usize = 4_096;
+    /// Maximum number of outcomes remembered for resends. A later resend ends in a conflict and is
+    /// not applied twice, since each change but a withdrawal names the version it expects.
+    pub const MAX_OUTCOMES: usize = 4_096;
 
-    /// Applies a change; a resend gets the first outcome.
+    /// Applies a request and returns its outcome; a resend gets the first outcome.
     pub fn apply(&mut self, req: &ChangeRequest) -> ChangeOutcome {
         if let Some(outcome) = self.outcomes.get(&req.request_id) {
             return outcome.clone();
         }
-        let outcome = self.decide(req);
-        self.remember(req.request_id.clone(), outcome.clone());
+        let outcome = self.apply_new(req);
+        self.record_outcome(req.request_id.clone(), outcome.clone());
         outcome
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     #[must_use]
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Makes a change that the log's members have accepted, on a VM that is not one of them. Only
-    /// the next version is taken: whether it was.
-    pub fn follow(&mut self, accepted: &AcceptedChange) -> bool {
+    /// Applies a change that the log has accepted, on a VM that is not a member of the log. Only a
+    /// change that makes the next version is applied; returns whether it was.
+    pub fn apply_accepted(&mut self, accepted: &AcceptedChange) -> bool {
         if accepted.version != self.version() + 1 {
             return false;
         }
-        self.document.make(accepted);
+        self.document.apply(accepted);
         true
     }
 
-    /// Takes over a newer document as a whole; whether it was newer.
+    /// Replaces the whole document with a newer one; returns whether it was newer.
     pub fn install(&mut self, document: Document) -> bool {
         if document.version <= self.version() {
             return false;
@@ -49,13 +49,14 @@
         true
     }
 
-    /// Version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> Version {
         self.document.version
     }
 
-    fn decide(&mut self, req: &ChangeRequest) -> ChangeOutcome {
+    /// Checks and applies a request that has no outcome yet.
+    fn apply_new(&mut self, req: &ChangeRequest) -> ChangeOutcome {
         if !req.change.commutes() && req.expected_version != Some(self.version()) {
             return ChangeOutcome::Conflict {
                 version: self.version(),
@@ -65,23 +66,25 @@
         if !faults.is_empty() {
             return ChangeOutcome::Refused { faults };
         }
-        if self.document.has_already(&req.change) {
+        if self.document.is_no_op(&req.change) {
             return ChangeOutcome::Accepted {
                 version: self.version(),
             };
         }
         let version = self.version() + 1;
-        self.document.make(&AcceptedChange {
+        self.document.apply(&AcceptedChange {
             change: req.change.clone(),
             version,
         });
         ChangeOutcome::Accepted { version }
     }
 
-    fn remember(&mut self, id: RequestId, outcome: ChangeOutcome) {
+    /// Remembers an outcome for resends, and forgets the oldest one beyond
+    /// [`Catalog::MAX_OUTCOMES`].
+    fn record_outcome(&mut self, id: RequestId, outcome: ChangeOutcome) {
         self.recent.push_back(id.clone());
         self.outcomes.insert(id, outcome);
-        while self.recent.len() > Self::REMEMBERED {
+        while self.recent.len() > Self::MAX_OUTCOMES {
             if let Some(oldest) = self.recent.pop_front() {
                 self.outcomes.remove(&oldest);
             }
--- a/crates/ebonystand-core/src/change.rs
+++ b/crates/ebonystand-core/src/change.rs
@@ -1,103 +1,104 @@
 use super::*;
 
-/// One change of the configuration.
+/// Change of the configuration, as an operator requests it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Change {
-    /// Replaces all but the keys; keys are added, and none comes back from withdrawal.
+    /// Replaces the document except for its keys: new keys are added, and a withdrawn key stays
+    /// withdrawn.
     Apply {
-        /// The new document; its version is ignored.
+        /// New document, whose version is ignored.
         document: Box<Document>,
     },
-    /// Gives a key.
+    /// Adds a key.
     GiveKey {
-        /// Its name; never used before.
+        /// Name of the key, which must not have been used before.
         id: KeyId,
-        /// The key.
+        /// Hash and workspace of the key.
         key: Key,
     },
     /// Adds or replaces a region.
     PutRegion {
-        /// Its name.
+        /// Name of the region.
         id: RegionId,
-        /// The region.
+        /// Holders and links of the region.
         region: Region,
     },
-    /// Replaces all routes, services and workspaces of the gateway, if the number of these is
-    /// higher than that of those in force; otherwise it changes nothing.
+    /// Replaces all routes, services and workspaces of the gateway if the routing's revision is
+    /// higher than that in force; otherwise changes nothing.
     PutRouting {
-        /// Regions with the holders of allowances.
+        /// Regions by name, with the holders of their allowances.
         regions: BTreeMap<RegionId, Region>,
-        /// The new ones.
+        /// New routes, services and workspaces.
         routing: Box<Routing>,
     },
     /// Adds or replaces a service.
     PutService {
-        /// Its name.
+        /// Name of the service.
         id: ServiceId,
-        /// The service.
+        /// Calls and cost of the service.
         service: Service,
     },
     /// Adds or replaces an upstream.
     PutUpstream {
-        /// Its name.
+        /// Name of the upstream.
         id: UpstreamId,
-        /// The upstream.
+        /// Address, place and kind of the upstream.
         upstream: Upstream,
     },
     /// Adds or replaces a workspace.
     PutWorkspace {
-        /// Its name.
+        /// Name of the workspace.
         id: WorkspaceId,
-        /// The workspace.
+        /// Allowance, home and residency of the workspace.
         workspace: Workspace,
     },
     /// Removes an upstream.
     RemoveUpstream {
-        /// Its name.
+        /// Name of the upstream.
         id: UpstreamId,
     },
     /// Removes a workspace and its keys.
     RemoveWorkspace {
-        /// Its name.
+        /// Name of the workspace.
         id: WorkspaceId,
     },
-    /// Stops or allows the sending of requests to the upstreams of an availability zone.
+    /// Stops or resumes sending requests to the upstreams of an availability zone.
     SetEvacuated {
-        /// Whether they get nothing.
+        /// Whether the upstreams of the zone get no requests.
         evacuated: bool,
-        /// The zone.
+        /// Name of the zone.
         zone: ZoneId,
     },
-    /// Says what a preset means.
+    /// Sets the weights and limits of a preset.
     SetPreset {
-        /// Which preset.
+        /// Name of the preset.
         name: PresetName,
-        /// Its new meaning.
+        /// New weights and limits.
         preset: Preset,
     },
-    /// Puts an upstream on leave or takes it back.
+    /// Sets whether an upstream is leaving.
     SetUpstreamLeaving {
-        /// Its name.
+        /// Name of the upstream.
         id: UpstreamId,
-        /// Whether it gets no new work.
+        /// Whether the upstream gets no new requests.
         leaving: bool,
     },
     /// Puts a preset in force.
     SwitchPreset {
-        /// Which preset.
+        /// Name of the preset to put in force.
         name: PresetName,
     },
-    /// Withdraws a key for ever.
+    /// Withdraws a key permanently.
     WithdrawKey {
-        /// Its name.
+        /// Name of the key.
         id: KeyId,
     },
 }
 
 impl Change {
-    /// Whether it may come at any version: it gives the same document whatever came before, or has
-    /// a number of its own that orders it.
+    /// Returns whether the change needs no expected version: its effect is the same whatever came
+    /// before, or a revision of its own orders it.
     #[must_use]
     pub fn commutes(&self) -> bool {
         matches!(
--- a/crates/ebonystand-core/src/change_outcome.rs
+++ b/crates/ebonystand-core/src/change_outcome.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// What became of a [`ChangeRequest`].
+/// Outcome of a [`ChangeRequest`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// It is in force from this version on.
+    /// The change is in force.
     Accepted {
-        /// Version that the change made.
+        /// Version from which on the change is in force.
         version: Version,
     },
-    /// Another change came first.
+    /// The version in force is not the one that the request expects.
     Conflict {
-        /// Version in force.
+        /// Version in force when the request was applied.
         version: Version,
     },
-    /// It would make a faulty document; the old one stays in force.
+    /// The change would make a faulty document, so the old document stays in force.
     Refused {
-        /// Every fault.
+        /// Every fault that the document would have.
         faults: Vec<DocumentFault>,
     },
 }
 
 impl ChangeOutcome {
-    /// HTTP status that the operators' API answers it with.
+    /// Returns the HTTP status with which the operators' API answers.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
--- a/crates/ebonystand-core/src/change_request.rs
+++ b/crates/ebonystand-core/src/change_request.rs
@@ -1,19 +1,21 @@
 use super::*;
 
-/// A change as an operator asks for it.
+/// Operator's request for a change, as the operators' API takes it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// What to change.
+    /// Change to apply.
     pub change: Change,
-    /// Version that the operator has seen. Not needed by one that [`Change::commutes`].
+    /// Version on which the operator bases the change; not needed if the change
+    /// [`commutes`](Change::commutes).
     pub expected_version: Option<Version>,
-    /// Name of the request, equal in each resend.
+    /// Name of the request, the same in each resend.
     pub request_id: RequestId,
 }
 
 impl ChangeRequest {
-    /// Withdrawal of a key. All VMs that ask for it make the same request, so that it counts once.
+    /// Creates the request that withdraws a key. All VMs create the same request for a key, so that
+    /// it is applied once.
     #[must_use]
     pub fn withdrawal(key: KeyId) -> Self {
         Self {
--- a/crates/ebonystand-core/src/document/document_change.rs
+++ b/crates/ebonystand-core/src/document/document_change.rs
@@ -1,22 +1,23 @@
-//! Changes of a document in place, at a cost that grows with the change and not with the document.
-//! Only [`Change::Apply`] and [`Change::RemoveWorkspace`] look at more than the entry they name.
+//! Changes of a document in place. The cost of a change grows with the change and not with the
+//! document, except for [`Change::Apply`] and [`Change::RemoveWorkspace`], which look at more than
+//! the entry they name.
 
 use super::*;
 
 impl Document {
-    /// Makes a change that has been accepted.
+    /// Applies a change that has been accepted.
     ///
-    /// What is absent is passed over: a copy that was made in parts may already be without an entry
-    /// that a later change of the same series removes.
-    pub fn make(&mut self, accepted: &AcceptedChange) {
+    /// An entry to be removed or changed that is absent is ignored: a copy that was transferred in
+    /// parts may already lack an entry that a later change of the same series removes.
+    pub fn apply(&mut self, accepted: &AcceptedChange) {
         self.version = accepted.version;
         match &accepted.change {
-            Change::Apply { document } => self.replace(document),
+            Change::Apply { document } => self.replace_with(document),
             Change::GiveKey { id, key } => drop(self.keys.insert(id.clone(), key.clone())),
             Change::PutRegion { id, region } => {
                 self.regions.insert(id.clone(), region.clone());
             }
-            Change::PutRouting { regions, routing } => self.put_routing(regions, routing),
+            Change::PutRouting { regions, routing } => self.replace_routing(regions, routing),
             Change::PutService { id, service } => {
                 self.services.insert(id.clone(), service.clone());
             }
@@ -53,22 +54,23 @@
         }
     }
 
-    /// Every fault that the document would have after `change`, provided that it has none now.
+    /// Returns every fault that the document would have after `change`, provided that it has none
+    /// now.
     #[must_use]
     pub fn faults_after(&self, change: &Change) -> Vec<DocumentFault> {
         let mut faults = Vec::new();
         match change {
             Change::Apply { document } => {
-                faults = self.replaced_by(document).faults();
-                self.key_conflicts(document, &mut faults);
+                faults = self.merged_with(document).faults();
+                self.check_given_keys(document, &mut faults);
             }
             Change::GiveKey { id, key } => {
                 if self.keys.contains_key(id) {
                     faults.push(DocumentFault::KeyExists { key: id.clone() });
                 }
-                self.key_faults(id, key, &mut faults);
+                self.check_key(id, key, &mut faults);
             }
-            Change::PutRegion { id, region } => self.region_faults(id, region, &mut faults),
+            Change::PutRegion { id, region } => self.check_region(id, region, &mut faults),
             Change::PutRouting { routing, .. } => {
                 let routing = routing.faults().into_iter();
                 faults.extend(routing.map(|fault| DocumentFault::Routing { fault }));
@@ -76,24 +78,25 @@
             Change::PutService { .. }
             | Change::SetEvacuated { .. }
             | Change::SwitchPreset { .. } => {}
-            Change::PutUpstream { id, upstream } => self.upstream_faults(id, upstream, &mut faults),
+            Change::PutUpstream { id, upstream } => self.check_upstream(id, upstream, &mut faults),
             Change::PutWorkspace { id, workspace } => {
-                self.workspace_faults(id, workspace, &mut faults);
+                self.check_workspace(id, workspace, &mut faults);
             }
             Change::RemoveUpstream { id } | Change::SetUpstreamLeaving { id, .. } => {
-                absent(&self.upstreams, "upstreams", id, &mut faults);
+                check_exists(&self.upstreams, "upstreams", id, &mut faults);
             }
             Change::RemoveWorkspace { id } => {
-                absent(&self.workspaces, "workspaces", id, &mut faults);
+                check_exists(&self.workspaces, "workspaces", id, &mut faults);
             }
             Change::SetPreset { name, preset } => preset.faults(*name, &mut faults),
-            Change::WithdrawKey { id } => absent(&self.keys, "keys", id, &mut faults),
+            Change::WithdrawKey { id } => check_exists(&self.keys, "keys", id, &mut faults),
         }
         faults
     }
 
-    /// A key that is given again with another secret or workspace would silently not change.
-    fn key_conflicts(&self, document: &Document, faults: &mut Vec<DocumentFault>) {
+    /// Adds a fault for each key of `document` that exists with another secret or workspace: the
+    /// key in force would stay, and the difference would be ignored without notice.
+    fn check_given_keys(&self, document: &Document, faults: &mut Vec<DocumentFault>) {
         for (id, new) in &document.keys {
             let differs = |old: &Key| old.hash != new.hash || old.workspace != new.workspace;
             if self.keys.get(id).is_some_and(differs) {
@@ -102,9 +105,9 @@
         }
     }
 
-    /// Whether the change leaves everything as it is, so that it needs no new version.
+    /// Returns whether `change` leaves the document as it is, so that it needs no new version.
     #[must_use]
-    pub fn has_already(&self, change: &Change) -> bool {
+    pub fn is_no_op(&self, change: &Change) -> bool {
         match change {
             Change::PutRouting { routing, .. } => routing.revision <= self.routing.revision,
             Change::SetEvacuated { evacuated, zone } => self.evacuated.contains(zone) == *evacuated,
@@ -112,24 +115,24 @@
         }
     }
 
-    /// Puts a routing in force. Its workspaces replace those in force, so that allowances follow;
-    /// one that is not limited has none.
-    fn put_routing(&mut self, regions: &BTreeMap<RegionId, Region>, routing: &Routing) {
+    /// Puts a routing in force, unless the one in force is as new. The workspaces of the routing
+    /// replace those in force, so that allowances follow; a workspace without a quota gets none.
+    fn replace_routing(&mut self, regions: &BTreeMap<RegionId, Region>, routing: &Routing) {
         if routing.revision <= self.routing.revision {
             return;
         }
         self.regions.clone_from(regions);
-        // A VM of any region may be the one that a caller connects to, and takes from the quota
-        // before it sends the request on to a home.
-        let everywhere: BTreeSet<_> = self.regions.keys().cloned().collect();
+        // A caller may connect to a VM of any region, which takes from the quota before it forwards
+        // the request to a home region.
+        let all_regions: BTreeSet<_> = self.regions.keys().cloned().collect();
         let limited = routing.workspaces.iter().filter_map(|workspace| {
             let quota = workspace.quota?;
-            let home = everywhere.first()?.clone();
+            let home = all_regions.first()?.clone();
             let limited = Workspace {
                 burst: quota.burst,
                 home,
                 rate: quota.rate,
-                residency: everywhere.clone(),
+                residency: all_regions.clone(),
             };
             Some((workspace.name.clone(), limited))
         });
@@ -137,17 +140,19 @@
         self.routing = routing.clone();
     }
 
-    fn replace(&mut self, document: &Document) {
+    /// Replaces the document with `document`, except for what [`Document::merged_with`] keeps.
+    fn replace_with(&mut self, document: &Document) {
         let version = self.version;
-        *self = self.replaced_by(document);
+        *self = self.merged_with(document);
         self.version = version;
     }
 
-    /// `document` with the keys in force added. A key in force keeps its secret and its workspace,
-    /// and a withdrawn one stays withdrawn: an old file would bring it back otherwise.
-    fn replaced_by(&self, document: &Document) -> Self {
+    /// Returns `document` with the keys in force added. A key in force keeps its secret and its
+    /// workspace, and a withdrawn key stays withdrawn; otherwise an old file would restore it.
+    fn merged_with(&self, document: &Document) -> Self {
         let mut next = document.clone();
-        // Both have orders of their own; a document that names neither must not undo them.
+        // The routing and the evacuated zones are changed by commands of their own, so a document
+        // that leaves them out must not revert them.
         if next.routing.revision <= self.routing.revision {
             next.routing.clone_from(&self.routing);
         }
@@ -164,7 +169,13 @@
     }
 }
 
-fn absent<T>(map: &BTreeMap<Box<str>, T>, name: &str, id: &str, faults: &mut Vec<DocumentFault>) {
+/// Adds a fault if `map`, the section `name` of the document, has no entry `id`.
+fn check_exists<T>(
+    map: &BTreeMap<Box<str>, T>,
+    name: &str,
+    id: &str,
+    faults: &mut Vec<DocumentFault>,
+) {
     if !map.contains_key(id) {
         faults.push(DocumentFault::Absent {
             path: format!("{name}.{id}").into(),
--- a/crates/ebonystand-core/src/document/document_cursor.rs
+++ b/crates/ebonystand-core/src/document/document_cursor.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Place in a [`Document`] that is copied in parts.
+/// Position in a [`Document`] that is copied in parts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DocumentCursor {
-    /// Last entry of the section that has been copied; `None` at its start.
+    /// Name of the last copied entry of the section; `None` at the section's start.
     pub after: Option<Box<str>>,
-    /// Section that is being copied.
+    /// Section that is being copied at this position.
     pub section: DocumentSection,
 }
--- a/crates/ebonystand-core/src/document/document_entry.rs
+++ b/crates/ebonystand-core/src/document/document_entry.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// One entry of a [`Document`]'s maps.
+/// Entry of one of the maps of a [`Document`], with its name.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DocumentEntry {
-    /// A key.
+    /// Entry of [`Document::keys`].
     Key(KeyId, Key),
-    /// A region.
+    /// Entry of [`Document::regions`].
     Region(RegionId, Region),
-    /// A service.
+    /// Entry of [`Document::services`].
     Service(ServiceId, Service),
-    /// An upstream.
+    /// Entry of [`Document::upstreams`].
     Upstream(UpstreamId, Upstream),
-    /// A workspace.
+    /// Entry of [`Document::workspaces`].
     Workspace(WorkspaceId, Workspace),
 }
 
 impl DocumentEntry {
-    /// Where a reader goes on after this entry.
+    /// Returns the cursor of the part that starts after this entry.
     #[must_use]
     pub fn cursor(&self) -> DocumentCursor {
         let (section, id) = match self {
--- a/crates/ebonystand-core/src/document/document_fault.rs
+++ b/crates/ebonystand-core/src/document/document_fault.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Reason why a document cannot be put in force.
+/// Reason why a document cannot be put in force, with its path in the document when displayed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[serde(rename_all = "snake_case")]
 #[snafu(visibility(pub(crate)))]
@@ -11,104 +11,104 @@
         /// Path in the document.
         path: Box<str>,
     },
-    /// A key belongs to no workspace.
+    /// A key names a workspace that the document lacks.
     #[snafu(display("keys.{key}.workspace: no workspace `{workspace}`"))]
     KeyWorkspace {
-        /// The key.
+        /// Name of the key.
         key: KeyId,
-        /// What it names.
+        /// Workspace that the document lacks.
         workspace: WorkspaceId,
     },
     /// A key is given again with another secret or workspace.
     #[snafu(display("keys.{key}: exists already; give a new key another name"))]
     KeyExists {
-        /// The key.
+        /// Name of the key.
         key: KeyId,
     },
-    /// A link without bandwidth.
+    /// A link has no bandwidth.
     #[snafu(display("regions.{region}.links.{to}.megabits: must be above 0"))]
     LinkMegabits {
-        /// Where the link starts.
+        /// Region where the link starts.
         region: RegionId,
-        /// Where it leads.
+        /// Region where the link ends.
         to: RegionId,
     },
-    /// A link leads to no region.
+    /// A link leads to a region that the document lacks.
     #[snafu(display("regions.{region}.links.{to}: no region `{to}`"))]
     LinkRegion {
-        /// Where the link starts.
+        /// Region where the link starts.
         region: RegionId,
-        /// What it names.
+        /// Region that the document lacks.
         to: RegionId,
     },
-    /// A limit of a preset at which nothing could be served.
+    /// A limit of a preset is 0, so that no request could be served.
     #[snafu(display("presets.{preset}.{field}: must be above 0"))]
     PresetLimit {
-        /// Field of the preset.
+        /// Name of the limit's field.
         field: Box<str>,
-        /// The preset.
+        /// Name of the preset.
         preset: PresetName,
     },
-    /// A model engine without models.
+    /// A model engine has no models.
     #[snafu(display("upstreams.{upstream}.kind.model.models: must name a model"))]
     UpstreamModels {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: UpstreamId,
     },
-    /// A routing that cannot be put in force.
+    /// The routing cannot be put in force.
     #[snafu(display("routing: {fault}"))]
     Routing {
-        /// What is wrong with it.
+        /// Fault of the routing.
         fault: RoutingFault,
     },
-    /// An upstream in no region.
+    /// An upstream is in a region that the document lacks.
     #[snafu(display("upstreams.{upstream}.region: no region `{region}`"))]
     UpstreamRegion {
-        /// What it names.
+        /// Region that the document lacks.
         region: RegionId,
-        /// The upstream.
+        /// Name of the upstream.
         upstream: UpstreamId,
     },
-    /// An upstream of no service.
+    /// An upstream is a server of a service that the document lacks.
     #[snafu(display("upstreams.{upstream}.kind.service.service: no service `{service}`"))]
     UpstreamService {
-        /// What it names.
+        /// Service that the document lacks.
         service: ServiceId,
-        /// The upstream.
+        /// Name of the upstream.
         upstream: UpstreamId,
     },
-    /// An upstream that can do nothing.
+    /// An upstream has speed 0.
     #[snafu(display("upstreams.{upstream}.speed: must be above 0"))]
     UpstreamSpeed {
-        /// The upstream.
+        /// Name of the upstream.
         upstream: UpstreamId,
     },
-    /// A workspace whose home is outside its residency.
+    /// The home region of a workspace is outside its residency.
     #[snafu(display("workspaces.{workspace}.home: `{home}` is not in its residency"))]
     WorkspaceHome {
-        /// What it names.
+        /// Home region of the workspace.
         home: RegionId,
-        /// The workspace.
+        /// Name of the workspace.
         workspace: WorkspaceId,
     },
-    /// A workspace without rate or burst.
+    /// A workspace has rate 0 or burst 0.
     #[snafu(display("workspaces.{workspace}: rate and burst must be above 0"))]
     WorkspaceRate {
-        /// The workspace.
+        /// Name of the workspace.
         workspace: WorkspaceId,
     },
-    /// A workspace bound to no region of the document.
+    /// The residency of a workspace names a region that the document lacks.
     #[snafu(display("workspaces.{workspace}.residency: no region `{region}`"))]
     WorkspaceRegion {
-        /// What it names.
+        /// Region that the document lacks.
         region: RegionId,
-        /// The workspace.
+        /// Name of the workspace.
         workspace: WorkspaceId,
     },
-    /// A workspace that may be served nowhere.
+    /// The residency of a workspace is empty, so that its requests could be served nowhere.
     #[snafu(display("workspaces.{workspace}.residency: must name a region"))]
     WorkspaceResidency {
-        /// The workspace.
+        /// Name of the workspace.
         workspace: WorkspaceId,
     },
 }
--- a/crates/ebonystand-core/src/document/document_part.rs
+++ b/crates/ebonystand-core/src/document/document_part.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Some consecutive entries of a [`Document`].
+/// Consecutive entries of a [`Document`], sent as one message, with the fields that are not maps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DocumentPart {
-    /// Place that the entries follow.
+    /// Position that the entries follow.
     pub cursor: DocumentCursor,
     /// [`Document::evacuated`] at this version.
     pub evacuated: BTreeSet<ZoneId>,
-    /// The entries.
+    /// Entries in the order of their sections and names, [`Document::PART_ENTRIES`] at most.
     pub entries: Vec<DocumentEntry>,
-    /// No entry follows.
+    /// Whether this is the last part of the document.
     pub last: bool,
     /// [`Document::preset`] at this version.
     pub preset: PresetName,
     /// [`Document::presets`] at this version.
     pub presets: Presets,
-    /// [`Document::routing`] at this version, in the first part.
+    /// [`Document::routing`] at this version without its source; present in the first part only.
     pub routing: Option<Box<Routing>>,
-    /// Version that the entries were read at.
+    /// Version of the document that the entries were read from.
     pub version: Version,
 }
--- a/crates/ebonystand-core/src/document/document_parts.rs
+++ b/crates/ebonystand-core/src/document/document_parts.rs
@@ -1,14 +1,15 @@
-//! Copying of a document in parts, so that no message and no pause grows with it.
+//! Transfer of a document in parts, so that neither a message nor the time to build one grows with
+//! the document.
 
 use {super::*, std::ops::Bound};
 
 impl Document {
-    /// Entries of a [`DocumentPart`] at most.
+    /// Maximum number of entries in a [`DocumentPart`].
     pub const PART_ENTRIES: usize = 256;
 
-    /// The entries after `cursor`.
+    /// Returns the part of the document that starts after `cursor`.
     #[must_use]
-    pub fn part(&self, cursor: DocumentCursor) -> DocumentPart {
+    pub fn read_part(&self, cursor: DocumentCursor) -> DocumentPart {
         let mut entries = Vec::new();
         let is_first = cursor == DocumentCursor::default();
         let mut section = Some(cursor.section);
@@ -18,7 +19,7 @@
                 break;
             }
             let room = Self::PART_ENTRIES - entries.len();
-            self.read(current, after, room, &mut entries);
+            self.read_section(current, after, room, &mut entries);
             after = None;
             section = current.next();
         }
@@ -29,14 +30,15 @@
             entries,
             preset: self.preset,
             presets: self.presets.clone(),
-            // Links of VMs that only serve are narrow: the operator's text would take most of a copy.
+            // The source is left out, since the links of serving VMs are narrow and the operator's
+            // text would take up most of a copy.
             routing: is_first.then(|| Box::new(self.routing.without_source())),
             version: self.version,
         }
     }
 
-    /// Takes over the entries of a part.
-    pub fn put_part(&mut self, part: DocumentPart) {
+    /// Inserts the entries of a part, and replaces the fields that are not maps.
+    pub fn insert_part(&mut self, part: DocumentPart) {
         self.preset = part.preset;
         self.presets = part.presets;
         self.evacuated = part.evacuated;
@@ -56,7 +58,8 @@
         }
     }
 
-    fn read(
+    /// Appends up to `room` entries of one section, starting after the name `after`.
+    fn read_section(
         &self,
         section: DocumentSection,
         after: Option<&str>,
@@ -65,22 +68,25 @@
     ) {
         use DocumentEntry as Entry;
         match section {
-            DocumentSection::Keys => take(&self.keys, after, room, entries, Entry::Key),
-            DocumentSection::Regions => take(&self.regions, after, room, entries, Entry::Region),
+            DocumentSection::Keys => read_map(&self.keys, after, room, entries, Entry::Key),
+            DocumentSection::Regions => {
+                read_map(&self.regions, after, room, entries, Entry::Region)
+            }
             DocumentSection::Services => {
-                take(&self.services, after, room, entries, Entry::Service);
+                read_map(&self.services, after, room, entries, Entry::Service);
             }
             DocumentSection::Upstreams => {
-                take(&self.upstreams, after, room, entries, Entry::Upstream);
+                read_map(&self.upstreams, after, room, entries, Entry::Upstream);
             }
             DocumentSection::Workspaces => {
-                take(&self.workspaces, after, room, entries, Entry::Workspace);
+                read_map(&self.workspaces, after, room, entries, Entry::Workspace);
             }
         }
     }
 }
 
-fn take<T: Clone>(
+/// Appends up to `room` entries of `map`, starting after the name `after`.
+fn read_map<T: Clone>(
     map: &BTreeMap<Box<str>, T>,
     after: Option<&str>,
     room: usize,
--- a/crates/ebonystand-core/src/document/document_section.rs
+++ b/crates/ebonystand-core/src/document/document_section.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// A map of a [`Document`], in the order in which it is copied.
+/// Map of a [`Document`], ordered as the maps are copied.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum DocumentSection {
-    /// Keys.
+    /// [`Document::keys`].
     #[default]
     Keys,
-    /// Regions.
+    /// [`Document::regions`].
     Regions,
-    /// Services.
+    /// [`Document::services`].
     Services,
-    /// Upstreams.
+    /// [`Document::upstreams`].
     Upstreams,
-    /// Workspaces.
+    /// [`Document::workspaces`].
     Workspaces,
 }
 
 impl DocumentSection {
-    /// The section copied next.
+    /// Returns the section that is copied after this one, if any.
     #[must_use]
     pub fn next(self) -> Option<Self> {
         match self {
--- a/crates/ebonystand-core/src/document/mod.rs
+++ b/crates/ebonystand-core/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: what it holds, how it changes, and how it is copied in parts.
+//! Configuration document: its content, its changes, and its transfer in parts.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/document/state.rs
+++ b/crates/ebonystand-core/src/document/state.rs
@@ -1,59 +1,61 @@
 use super::*;
 
-/// The whole configuration at one version.
+/// Whole configuration of the gateway at one version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-    /// Availability zones whose upstreams get nothing.
+    /// Availability zones whose upstreams get no requests.
     pub evacuated: BTreeSet<ZoneId>,
-    /// Callers' keys. In a document that an operator applies they are added to those in force.
+    /// Callers' keys by name. When an operator applies a document, its keys are added to those in
+    /// force.
     pub keys: BTreeMap<KeyId, Key>,
-    /// The one preset in force.
+    /// Name of the preset in force.
     pub preset: PresetName,
-    /// What each preset means.
+    /// Weights and limits of each preset.
     pub presets: Presets,
-    /// Regions.
+    /// Regions by name.
     pub regions: BTreeMap<RegionId, Region>,
-    /// Routes of plain HTTP requests.
+    /// Operator's configuration of routes for plain HTTP requests.
     pub routing: Routing,
-    /// Plain services.
+    /// Plain services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Upstreams.
+    /// Upstreams by name.
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// Number of accepted changes; ignored in a document that an operator applies.
+    /// Number of changes accepted so far; ignored in a document that an operator applies.
     pub version: Version,
-    /// Workspaces.
+    /// Workspaces by name.
     pub workspaces: BTreeMap<WorkspaceId, Workspace>,
 }
 
 impl Document {
-    /// Every fault of the document; empty if it may be put in force.
+    /// Returns every fault of the document; it can be put in force if there is none.
     #[must_use]
     pub fn faults(&self) -> Vec<DocumentFault> {
         let mut faults = Vec::new();
         for (id, key) in &self.keys {
-            self.key_faults(id, key, &mut faults);
+            self.check_key(id, key, &mut faults);
         }
         self.presets.faults(&mut faults);
         for (id, region) in &self.regions {
-            self.region_faults(id, region, &mut faults);
+            self.check_region(id, region, &mut faults);
         }
         for (id, upstream) in &self.upstreams {
-            self.upstream_faults(id, upstream, &mut faults);
+            self.check_upstream(id, upstream, &mut faults);
         }
         for (id, workspace) in &self.workspaces {
-            self.workspace_faults(id, workspace, &mut faults);
+            self.check_workspace(id, workspace, &mut faults);
         }
         faults
     }
 
-    /// The preset in force.
+    /// Returns the weights and limits of the preset in force.
     #[must_use]
     pub fn preset(&self) -> &Preset {
         self.presets.get(self.preset)
     }
 
-    pub(crate) fn key_faults(&self, id: &KeyId, key: &Key, faults: &mut Vec<DocumentFault>) {
+    /// Adds the faults of a key to `faults`.
+    pub(crate) fn check_key(&self, id: &KeyId, key: &Key, faults: &mut Vec<DocumentFault>) {
         if !self.workspaces.contains_key(&key.workspace) {
             faults.push(DocumentFault::KeyWorkspace {
                 key: id.clone(),
@@ -62,7 +64,8 @@
         }
     }
 
-    pub(crate) fn region_faults(
+    /// Adds the faults of a region's links to `faults`.
+    pub(crate) fn check_region(
         &self,
         id: &RegionId,
         region: &Region,
@@ -84,7 +87,8 @@
         }
     }
 
-    pub(crate) fn upstream_faults(
+    /// Adds the faults of an upstream to `faults`.
+    pub(crate) fn check_upstream(
         &self,
         id: &UpstreamId,
         upstream: &Upstream,
@@ -117,7 +121,8 @@
         }
     }
 
-    pub(crate) fn workspace_faults(
+    /// Adds the faults of a workspace to `faults`.
+    pub(crate) fn check_workspace(
         &self,
         id: &WorkspaceId,
         workspace: &Workspace,
--- a/crates/ebonystand-core/src/feed.rs
+++ b/crates/ebonystand-core/src/feed.rs
@@ -1,107 +1,120 @@
 use {super::*, rand::SeedableRng, rand_pcg::Pcg64Mcg};
 
-/// Distribution of the configuration from the members of its log to all VMs.
+/// Protocol that distributes the configuration from the members of its log to all VMs by push,
+/// gossip and pull.
 ///
-/// A VM that gets a new change passes it on to [`Feed::FAN_OUT`] others, once; whom that misses
-/// hears of the version by gossip and pulls. So a change costs a VM the same however many there
-/// are. Only the next version is put in force, or a whole newer document: never an older one.
+/// A VM that gets a new change pushes it to [`Feed::FAN_OUT`] other VMs, once; a VM that no push
+/// reaches hears of the version by gossip and pulls. A change therefore costs each VM the same,
+/// however large the fleet. A VM puts in force only the next version, or a whole newer document,
+/// and never an older one.
 ///
-/// A VM that starts may have served a newer version before than it holds now. It is not ready
-/// until it has caught up with the log's leader, or, where none answers, with whatever peers it
-/// reaches within [`Feed::START_WAIT`]: by then what one of them had has reached the others.
+/// A VM that restarts may have served a newer version before than it holds now. It is not ready
+/// until it has caught up with the log's leader. If no leader answers within
+/// [`Feed::START_TIMEOUT`], it catches up with the peers that it reaches instead, since a version
+/// that one of them has put in force has reached the others by then.
 #[derive(Clone, Debug)]
 pub struct Feed {
-    answered: PartsAnswered,
-    asked_withdrawn: bool,
+    /// Parts of the document that were sent lately.
+    sent_parts: SentParts,
+    /// Whether withdrawn keys have been requested from a peer since the last tick.
+    withdrawals_requested: bool,
+    /// Newer document that is being copied in parts.
     copy: Option<DocumentCopy>,
-    leading: bool,
-    log: ChangeLog,
-    newer: NewerPeers,
+    /// Whether this VM leads the configuration's log.
+    is_leader: bool,
+    change_log: ChangeLog,
+    /// Peers that were lately heard to have a newer version.
+    newer_peers: NewerPeers,
     next_tick: Duration,
     peers: FeedPeers,
     proposals: WithdrawalProposals,
-    pull: Option<Pull>,
+    /// Pull that has not been answered yet.
+    open_pull: Option<OpenPull>,
     readiness: Readiness,
     rng: Pcg64Mcg,
-    /// Questions in a row that were not answered in time.
-    unanswered: u32,
+    /// Number of consecutive pulls that timed out.
+    unanswered_pulls: u32,
+    /// Version in force once all outputs so far are carried out.
     version: Version,
     withdrawals: Withdrawals,
 }
 
+/// Request for a newer configuration that has not been answered yet.
 #[derive(Clone, Debug)]
-struct Pull {
+struct OpenPull {
     from: VmId,
-    since: Duration,
+    sent_at: Duration,
 }
 
-impl Pull {
-    fn ended(self, now: Duration, end: PullEnd) -> FeedOutput {
+impl OpenPull {
+    /// Returns the output that reports how the pull ended.
+    fn into_output(self, now: Duration, end: PullOutcome) -> FeedOutput {
         FeedOutput::PullEnded {
             end,
             from: self.from,
-            waited: Some(now.saturating_sub(self.since)),
+            waited: Some(now.saturating_sub(self.sent_at)),
         }
     }
 }
 
 impl Feed {
-    /// Peers that a VM tells of a version that they have to pull. Of four, two in a hundred VMs are
-    /// told by none and hear of it by gossip, seconds later.
-    pub const ANNOUNCED: usize = 8;
-    /// Peers that a VM passes a change on to.
+    /// Number of peers that a VM tells of a version whose changes they have to pull. With four, two
+    /// in a hundred VMs were told by none and heard of it only by gossip, seconds later.
+    pub const ANNOUNCE_FAN_OUT: usize = 8;
+    /// Number of peers that a VM pushes a change to.
     pub const FAN_OUT: usize = 4;
-    /// Wait for a pull's answer.
-    pub const PULL_ANSWER: Duration = Duration::from_secs(1);
-    /// How often the wait for an answer doubles at most: a copy's part may take longer on a slow link, and
-    /// each question puts another one on it.
-    const LONGEST_PULL: u32 = 5;
-    /// Longest wait of a starting VM for the log's leader.
-    pub const START_WAIT: Duration = Duration::from_secs(5);
-    /// Time between two ticks.
-    pub const TICK: Duration = Duration::from_millis(500);
+    /// Time to wait for the answer to a pull, before any doubling.
+    pub const PULL_TIMEOUT: Duration = Duration::from_secs(1);
+    /// Maximum number of times that the wait for an answer doubles. On a slow link a part may take
+    /// longer than the wait, and each repeated pull puts another part on that link.
+    const MAX_PULL_DOUBLINGS: u32 = 5;
+    /// Time that a starting VM waits for the log's leader.
+    pub const START_TIMEOUT: Duration = Duration::from_secs(5);
+    /// Time between two [`FeedInput::Tick`]s.
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-    /// A VM that starts. `members` are the VMs of the configuration's log, which makes this VM one
-    /// of them or not.
+    /// Creates the feed of a VM that starts. `members` are the VMs of the configuration's log,
+    /// which may include this VM.
     #[must_use]
     pub fn new(own: VmId, members: Vec<VmId>, now: Duration, seed: u64) -> Self {
         Self {
-            answered: PartsAnswered::default(),
-            asked_withdrawn: false,
+            sent_parts: SentParts::default(),
+            withdrawals_requested: false,
             copy: None,
-            leading: false,
-            log: ChangeLog::default(),
-            newer: NewerPeers::default(),
+            is_leader: false,
+            change_log: ChangeLog::default(),
+            newer_peers: NewerPeers::default(),
             next_tick: now,
             peers: FeedPeers::new(own, members),
             proposals: WithdrawalProposals::default(),
-            pull: None,
+            open_pull: None,
             readiness: Readiness::new(now),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            unanswered: 0,
+            unanswered_pulls: 0,
             version: 0,
             withdrawals: Withdrawals::default(),
         }
     }
 
-    /// When [`FeedInput::Tick`] is next due.
+    /// Returns the time when [`FeedInput::Tick`] is next due.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         self.next_tick
     }
 
-    /// Whether the VM may serve.
+    /// Returns whether the VM may serve requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Sets the VMs of the configuration's log.
+    /// Sets the VMs that are members of the configuration's log.
     pub fn set_members(&mut self, members: Vec<VmId>) {
         self.peers.set_members(members);
     }
 
-    /// Takes an input. `document` is the one in force, all earlier outputs being carried out.
+    /// Processes an input and returns the resulting actions. `document` is the one in force, with
+    /// all earlier outputs carried out.
     pub fn step(
         &mut self,
         now: Duration,
@@ -112,66 +125,70 @@
         self.version = document.version;
         match input {
             FeedInput::Committed { change } => {
-                self.log.push(change);
-                self.push(&mut outputs);
+                self.change_log.push(change);
+                self.push_changes(&mut outputs);
             }
             FeedInput::PeerVersion {
                 version,
                 vm,
                 withdrawals,
-            } => self.heard(now, vm, version, Some(withdrawals), &mut outputs),
-            FeedInput::Leading { leading } => self.leading = leading,
+            } => self.record_peer_version(now, vm, version, Some(withdrawals), &mut outputs),
+            FeedInput::Leading { leading } => self.is_leader = leading,
             FeedInput::Message { from, message } => {
-                self.receive(now, document, from, message, &mut outputs);
+                self.receive_message(now, document, from, message, &mut outputs);
             }
             FeedInput::Peers { far, near } => {
                 let first = self.peers.is_empty();
-                self.peers.set(far, near);
+                self.peers.set_live(far, near);
                 if first && !self.is_ready() {
-                    self.ask(&mut outputs);
+                    self.request_versions(&mut outputs);
                 }
             }
             FeedInput::Tick => self.tick(now, &mut outputs),
             FeedInput::Withdraw { key } => {
                 let version = document.version;
-                self.withdraw(document, &[Withdrawal { key, version }], &mut outputs);
+                self.add_withdrawals(document, &[Withdrawal { key, version }], &mut outputs);
             }
         }
-        self.withdrawals.settle(document);
-        if self.log.version() != self.version {
-            self.log.restart(self.version);
+        self.withdrawals.remove_settled(document);
+        if self.change_log.version() != self.version {
+            self.change_log.reset(self.version);
         }
-        self.check_ready(now, &mut outputs);
+        self.update_readiness(now, &mut outputs);
         outputs
     }
 
-    /// Withdrawn keys that the document does not show yet; asked at each look-up of a key.
+    /// Returns the withdrawn keys that the document does not show yet. Each look-up of a key must
+    /// consult them.
     #[must_use]
     pub fn withdrawals(&self) -> &Withdrawals {
         &self.withdrawals
     }
 
-    fn ask(&mut self, outputs: &mut Vec<FeedOutput>) {
-        let asked = self.peers.asked(&mut self.rng);
+    /// Asks the log's members and some live VMs for their versions.
+    fn request_versions(&mut self, outputs: &mut Vec<FeedOutput>) {
+        let asked = self.peers.pick_for_start(&mut self.rng);
         outputs.extend(asked.into_iter().map(|to| FeedOutput::Send {
             message: FeedMessage::Ask,
             to,
         }));
     }
 
-    fn check_ready(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
-        self.newer.retain(now, self.version);
-        let has_newer = !self.newer.is_empty();
+    /// Makes the VM ready once it has caught up.
+    fn update_readiness(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
+        self.newer_peers.retain(now, self.version);
+        let has_newer = !self.newer_peers.is_empty();
         if self
             .readiness
-            .check(now, self.version, has_newer, self.leading)
+            .update(now, self.version, has_newer, self.is_leader)
         {
             outputs.push(FeedOutput::Ready);
         }
     }
 
-    /// Takes over pushed or pulled changes. A member of the log waits for the log instead.
-    fn follow(
+    /// Processes pushed or pulled changes. A member of the log ignores them and takes changes from
+    /// the log.
+    fn receive_changes(
         &mut self,
         now: Duration,
         from: VmId,
@@ -179,30 +196,34 @@
         changes: Vec<AcceptedChange>,
         outputs: &mut Vec<FeedOutput>,
     ) {
-        if let Some(pull) = self.pull.take_if(|pull| pull.from == from) {
-            self.unanswered = 0;
-            outputs.push(pull.ended(now, PullEnd::Answered));
-            self.follow_copy(&changes, outputs);
+        if let Some(pull) = self.open_pull.take_if(|pull| pull.from == from) {
+            self.unanswered_pulls = 0;
+            outputs.push(pull.into_output(now, PullOutcome::Answered));
+            self.apply_to_copy(&changes, outputs);
             if changes.is_empty() {
-                // Nothing came of it: asking the same peer at once would repeat without end.
-                self.newer.remove(&from);
+                // The peer has no newer changes. Asking it again at once would repeat without end.
+                self.newer_peers.remove(&from);
                 return;
             }
         }
         if !self.peers.is_member() {
-            self.make(changes, outputs);
+            self.apply_changes(changes, outputs);
         }
-        self.heard(now, from, version, None, outputs);
+        self.record_peer_version(now, from, version, None, outputs);
     }
 
-    fn follow_copy(&mut self, changes: &[AcceptedChange], outputs: &mut Vec<FeedOutput>) {
+    /// Applies the changes that follow the last part to the copy, and installs it if that completes
+    /// it.
+    fn apply_to_copy(&mut self, changes: &[AcceptedChange], outputs: &mut Vec<FeedOutput>) {
         if let Some(copy) = &mut self.copy {
-            copy.make(changes);
+            copy.apply_changes(changes);
         }
-        self.install_if_finished(outputs);
+        self.install_if_complete(outputs);
     }
 
-    fn heard(
+    /// Records the version of a peer, requests its withdrawn keys if they differ, and pulls if it
+    /// is newer.
+    fn record_peer_version(
         &mut self,
         now: Duration,
         vm: VmId,
@@ -211,22 +232,24 @@
         outputs: &mut Vec<FeedOutput>,
     ) {
         let differs = |digest| digest != self.withdrawals.digest();
-        if withdrawals.is_some_and(differs) && !self.asked_withdrawn {
-            self.asked_withdrawn = true;
+        if withdrawals.is_some_and(differs) && !self.withdrawals_requested {
+            self.withdrawals_requested = true;
             outputs.push(FeedOutput::Send {
                 message: FeedMessage::PullWithdrawn { after: None },
                 to: vm.clone(),
             });
         }
         if version > self.version {
-            self.newer.insert(now, vm, version);
+            self.newer_peers.insert(now, vm, version);
         }
-        self.newer.retain(now, self.version);
-        self.pull(now, outputs);
+        self.newer_peers.retain(now, self.version);
+        self.pull_if_behind(now, outputs);
     }
 
-    fn install_if_finished(&mut self, outputs: &mut Vec<FeedOutput>) {
-        let Some(copy) = self.copy.take_if(|copy| copy.finished()) else {
+    /// Puts the copied document in force once it is complete, unless a newer one is in force by
+    /// then.
+    fn install_if_complete(&mut self, outputs: &mut Vec<FeedOutput>) {
+        let Some(copy) = self.copy.take_if(|copy| copy.is_complete()) else {
             return;
         };
         let document = copy.into_document();
@@ -234,65 +257,69 @@
             return;
         }
         self.version = document.version;
-        self.log.restart(self.version);
-        self.push(outputs);
+        self.change_log.reset(self.version);
+        self.push_changes(outputs);
         outputs.push(FeedOutput::Install {
             document: Box::new(document),
         });
     }
 
-    /// Puts in force what follows in sequence. It is passed on first: if this process ends in
-    /// between, a VM that served a version is not the only one that ever had it.
-    fn make(&mut self, changes: Vec<AcceptedChange>, outputs: &mut Vec<FeedOutput>) {
+    /// Applies the changes that follow the version in force. They are pushed to peers first: if
+    /// this process ends in between, a version that it has served has also been sent to others.
+    fn apply_changes(&mut self, changes: Vec<AcceptedChange>, outputs: &mut Vec<FeedOutput>) {
         let before = self.version;
-        let mut made = Vec::new();
+        let mut applied = Vec::new();
         for change in changes {
             if change.version == self.version + 1 {
                 self.version += 1;
-                self.log.push(change.clone());
-                made.push(FeedOutput::Apply { change });
+                self.change_log.push(change.clone());
+                applied.push(FeedOutput::Apply { change });
             }
         }
         if self.version > before {
-            self.push(outputs);
+            self.push_changes(outputs);
         }
-        outputs.extend(made);
+        outputs.extend(applied);
     }
 
-    /// Asks a newer peer for what this VM lacks, one at a time.
-    fn pull(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
-        if self.peers.is_member() || self.pull.is_some() {
+    /// Sends a pull to a random newer peer, unless one is open. Members of the log never pull.
+    fn pull_if_behind(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
+        if self.peers.is_member() || self.open_pull.is_some() {
             return;
         }
-        let Some(from) = self.newer.pick(&mut self.rng) else {
+        let Some(from) = self.newer_peers.pick(&mut self.rng) else {
             return;
         };
         let message = match &self.copy {
-            Some(copy) => copy.request(),
+            Some(copy) => copy.next_request(),
             None => FeedMessage::Pull {
                 after: self.version,
             },
         };
-        self.pull = Some(Pull {
+        self.open_pull = Some(OpenPull {
             from: from.clone(),
-            since: now,
+            sent_at: now,
         });
         outputs.push(FeedOutput::Send { message, to: from });
     }
 
-    /// Passes the newest changes on.
-    fn push(&mut self, outputs: &mut Vec<FeedOutput>) {
-        const PUSHED: u64 = 4;
-        let after = self.version.saturating_sub(PUSHED).max(self.log.floor());
-        let changes = self.log.after(after).unwrap_or_default();
+    /// Pushes the newest changes to some peers, or only the version if the changes are not kept.
+    fn push_changes(&mut self, outputs: &mut Vec<FeedOutput>) {
+        const MAX_PUSHED_CHANGES: u64 = 4;
+        let after = self
+            .version
+            .saturating_sub(MAX_PUSHED_CHANGES)
+            .max(self.change_log.floor());
+        let changes = self.change_log.changes_after(after).unwrap_or_default();
         let message = FeedMessage::Changes {
             changes,
             version: self.version,
         };
-        self.spread(&message, outputs);
+        self.send_to_peers(&message, outputs);
     }
 
-    fn receive(
+    /// Processes a message from a peer, and answers it if it is a request.
+    fn receive_message(
         &mut self,
         now: Duration,
         document: &Document,
@@ -302,17 +329,17 @@
     ) {
         let answer = match message {
             FeedMessage::Ask => FeedMessage::Version {
-                leading: self.leading,
+                leading: self.is_leader,
                 version: document.version,
                 withdrawals: self.withdrawals.page(None),
             },
             FeedMessage::Changes { changes, version } => {
-                return self.follow(now, from, version, changes, outputs);
+                return self.receive_changes(now, from, version, changes, outputs);
             }
             FeedMessage::Part { part } => {
-                return self.take_part(now, from, *part, outputs);
+                return self.receive_part(now, from, *part, outputs);
             }
-            FeedMessage::Pull { after } => self.log.answer(document, after),
+            FeedMessage::Pull { after } => self.change_log.answer_pull(document, after),
             FeedMessage::PullPart { cursor } => FeedMessage::part(document, cursor),
             FeedMessage::PullWithdrawn { after } => FeedMessage::Withdrawn {
                 withdrawals: self.withdrawals.page(after.as_ref()),
@@ -322,16 +349,16 @@
                 version,
                 withdrawals,
             } => {
-                self.readiness.heard(leading, version);
-                self.withdraw(document, &withdrawals, outputs);
-                return self.heard(now, from, version, None, outputs);
+                self.readiness.record_leader_version(leading, version);
+                self.add_withdrawals(document, &withdrawals, outputs);
+                return self.record_peer_version(now, from, version, None, outputs);
             }
             FeedMessage::Withdrawn { withdrawals } => {
-                self.withdraw(document, &withdrawals, outputs);
+                self.add_withdrawals(document, &withdrawals, outputs);
                 let Some(last) = withdrawals.last() else {
                     return;
                 };
-                if withdrawals.len() < Withdrawals::PAGE {
+                if withdrawals.len() < Withdrawals::PAGE_ENTRIES {
                     return;
                 }
                 let after = Some(last.key.clone());
@@ -339,7 +366,7 @@
             }
         };
         if let FeedMessage::Part { part } = &answer
-            && !self.answered.admits(now, &from, part)
+            && !self.sent_parts.record_if_due(now, &from, part)
         {
             return;
         }
@@ -349,29 +376,35 @@
         });
     }
 
-    fn propose(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
-        if !self.leading {
+    /// Proposes withdrawn keys to the log, if this VM leads it.
+    fn propose_withdrawals(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
+        if !self.is_leader {
             return;
         }
-        let due = self.proposals.due(now, &self.withdrawals);
+        let due = self.proposals.take_due(now, &self.withdrawals);
         outputs.extend(due.into_iter().map(|key| FeedOutput::Propose {
             req: ChangeRequest::withdrawal(key),
         }));
     }
 
-    fn spread(&mut self, message: &FeedMessage, outputs: &mut Vec<FeedOutput>) {
+    /// Sends a message to random live peers, more of them if it only announces a version.
+    fn send_to_peers(&mut self, message: &FeedMessage, outputs: &mut Vec<FeedOutput>) {
         let count = match message {
-            FeedMessage::Changes { changes, .. } if changes.is_empty() => Self::ANNOUNCED,
+            FeedMessage::Changes { changes, .. } if changes.is_empty() => Self::ANNOUNCE_FAN_OUT,
             _ => Self::FAN_OUT,
         };
-        let to = self.peers.fan_out(count, &mut self.rng).into_iter();
+        let to = self
+            .peers
+            .pick_for_fan_out(count, &mut self.rng)
+            .into_iter();
         outputs.extend(to.map(|to| FeedOutput::Send {
             message: message.clone(),
             to,
         }));
     }
 
-    fn take_part(
+    /// Processes a part of a document, whether it answers the open pull or comes late.
+    fn receive_part(
         &mut self,
         now: Duration,
         from: VmId,
@@ -379,83 +412,91 @@
         outputs: &mut Vec<FeedOutput>,
     ) {
         let version = part.version;
-        let pull = self.pull.take_if(|pull| pull.from == from);
+        let pull = self.open_pull.take_if(|pull| pull.from == from);
         let is_late = pull.is_none();
         outputs.push(match pull {
             Some(pull) => {
-                self.unanswered = 0;
-                pull.ended(now, PullEnd::Answered)
+                self.unanswered_pulls = 0;
+                pull.into_output(now, PullOutcome::Answered)
             }
             None => FeedOutput::PullEnded {
-                end: PullEnd::Late,
+                end: PullOutcome::Late,
                 from: from.clone(),
                 waited: None,
             },
         });
-        let is_awaited = |copy: &DocumentCopy| copy.awaits(&part.cursor);
-        let goes_on = self.copy.as_ref().is_some_and(is_awaited);
-        if goes_on {
-            // Whoever else was asked for this part need not answer.
-            self.pull = None;
+        let is_expected = |copy: &DocumentCopy| copy.expects(&part.cursor);
+        let continues_copy = self.copy.as_ref().is_some_and(is_expected);
+        if continues_copy {
+            // Another peer may have been asked for this part meanwhile; its answer is no longer
+            // needed.
+            self.open_pull = None;
         }
-        // A late answer is taken like any other. Thrown away, it would be asked for again: on a
-        // link that carries less than a copy in the wait for it, no copy would ever be taken, and
-        // the link would stay full.
-        let since = self.copy.as_ref().map_or(self.version, DocumentCopy::since);
-        if is_late && !goes_on && version <= since {
+        // A late part is used like any other. If it were dropped, it would be requested again: on a
+        // link that carries less than one part within the wait, no copy would ever advance, and the
+        // link would stay full.
+        let base_version = self
+            .copy
+            .as_ref()
+            .map_or(self.version, DocumentCopy::base_version);
+        if is_late && !continues_copy && version <= base_version {
             return;
         }
         if part.cursor == DocumentCursor::default() {
             self.copy = DocumentCopy::start(part);
         } else if let Some(copy) = &mut self.copy {
-            copy.put(part);
+            copy.add_part(part);
         }
-        // A sender that is older than the first part has nothing for this copy: asking it again for
-        // the same part would repeat without end. It starts anew with what there is.
-        self.copy.take_if(|copy| version < copy.since());
-        self.install_if_finished(outputs);
-        self.heard(now, from, version, None, outputs);
+        // A peer older than the first part cannot continue this copy, and asking it for the same
+        // part would repeat without end. The copy is dropped, and the next pull starts anew with
+        // what there is.
+        self.copy.take_if(|copy| version < copy.base_version());
+        self.install_if_complete(outputs);
+        self.record_peer_version(now, from, version, None, outputs);
     }
 
+    /// Handles timeouts and repeats what has not succeeded yet.
     fn tick(&mut self, now: Duration, outputs: &mut Vec<FeedOutput>) {
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now + Self::TICK;
-        self.asked_withdrawn = false;
+        self.next_tick = now + Self::TICK_INTERVAL;
+        self.withdrawals_requested = false;
         if !self.is_ready() {
-            self.ask(outputs);
+            self.request_versions(outputs);
         }
-        let patience = Self::PULL_ANSWER * (1 << self.unanswered.min(Self::LONGEST_PULL));
-        let late = |pull: &mut Pull| now.saturating_sub(pull.since) >= patience;
-        if let Some(pull) = self.pull.take_if(late) {
-            self.unanswered += 1;
-            self.newer.remove(&pull.from);
-            outputs.push(pull.ended(now, PullEnd::TimedOut));
+        let timeout =
+            Self::PULL_TIMEOUT * (1 << self.unanswered_pulls.min(Self::MAX_PULL_DOUBLINGS));
+        let is_overdue = |pull: &mut OpenPull| now.saturating_sub(pull.sent_at) >= timeout;
+        if let Some(pull) = self.open_pull.take_if(is_overdue) {
+            self.unanswered_pulls += 1;
+            self.newer_peers.remove(&pull.from);
+            outputs.push(pull.into_output(now, PullOutcome::TimedOut));
         }
-        self.newer.retain(now, self.version);
-        self.pull(now, outputs);
-        self.propose(now, outputs);
+        self.newer_peers.retain(now, self.version);
+        self.pull_if_behind(now, outputs);
+        self.propose_withdrawals(now, outputs);
     }
 
-    fn withdraw(
+    /// Adds withdrawn keys to the set, and passes new ones on to peers.
+    fn add_withdrawals(
         &mut self,
         document: &Document,
         withdrawals: &[Withdrawal],
         outputs: &mut Vec<FeedOutput>,
     ) {
-        let mut fresh = Vec::new();
+        let mut added = Vec::new();
         for withdrawal in withdrawals {
             if self.withdrawals.insert(document, withdrawal) {
-                fresh.push(withdrawal.clone());
+                added.push(withdrawal.clone());
                 outputs.push(FeedOutput::Withdrawn {
                     key: withdrawal.key.clone(),
                 });
             }
         }
-        if !fresh.is_empty() {
-            let message = FeedMessage::Withdrawn { withdrawals: fresh };
-            self.spread(&message, outputs);
+        if !added.is_empty() {
+            let message = FeedMessage::Withdrawn { withdrawals: added };
+            self.send_to_peers(&message, outputs);
         }
     }
 }
--- a/crates/ebonystand-core/src/feed_input.rs
+++ b/crates/ebonystand-core/src/feed_input.rs
@@ -1,46 +1,49 @@
 use super::*;
 
-/// What [`Feed`] is told.
+/// Event that [`Feed`] processes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FeedInput {
-    /// The log made a change; the document given with it has it. Only on members of the log.
+    /// The log has committed a change, which the document passed with this input already has. Only
+    /// members of the log get this input.
     Committed {
-        /// The change.
+        /// Committed change.
         change: AcceptedChange,
     },
-    /// See [`MembershipOutput::PeerVersion`].
+    /// Gossip shows a peer with a newer version or other withdrawn keys; see
+    /// [`MembershipOutput::PeerVersion`].
     PeerVersion {
-        /// The other's version.
+        /// Version in force on the peer.
         version: Version,
-        /// The other VM.
+        /// Name of the peer.
         vm: VmId,
-        /// The other's [`Withdrawals::digest`].
+        /// [`Withdrawals::digest`] of the peer's withdrawn keys.
         withdrawals: u64,
     },
-    /// Whether this VM leads the log under a valid lease and has applied all that was committed.
+    /// This VM has started or stopped leading the log under a valid lease with all committed
+    /// changes applied.
     Leading {
-        /// Whether it does.
+        /// Whether the VM leads now.
         leading: bool,
     },
-    /// A message from another VM.
+    /// A message from another VM has arrived.
     Message {
-        /// The sender.
+        /// Name of the sender.
         from: VmId,
-        /// The message.
+        /// Content of the message.
         message: FeedMessage,
     },
-    /// The VMs that are live now, this one left out.
+    /// The set of live VMs has changed; this VM is left out.
     Peers {
-        /// Those of other regions.
+        /// Live VMs of other regions.
         far: Vec<VmId>,
-        /// Those of this region.
+        /// Live VMs of this region.
         near: Vec<VmId>,
     },
-    /// Time has passed.
+    /// [`Feed::deadline`] has passed.
     Tick,
     /// An operator withdraws a key on this VM.
     Withdraw {
-        /// The key.
+        /// Name of the key.
         key: KeyId,
     },
 }
--- a/crates/ebonystand-core/src/feed_message.rs
+++ b/crates/ebonystand-core/src/feed_message.rs
@@ -1,58 +1,61 @@
 use super::*;
 
-/// Message between VMs about the configuration. Only the first part of a copy grows with the
-/// document, by its routes.
+/// Message between VMs that distributes the configuration. Only the first part of a copy grows with
+/// the document, by its routes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FeedMessage {
-    /// Asks for [`FeedMessage::Version`].
+    /// Asks for the receiver's [`FeedMessage::Version`].
     Ask,
-    /// The changes that follow a version, pushed or asked for; none where the receiver is to pull.
+    /// Carries the changes that follow a version, pushed or as an answer. An empty list announces a
+    /// version that the receiver has to pull.
     Changes {
-        /// Consecutive changes.
+        /// Changes of consecutive versions, the oldest first.
         changes: Vec<AcceptedChange>,
         /// Version in force on the sender.
         version: Version,
     },
-    /// Entries of the document.
+    /// Carries a part of the sender's document.
     Part {
-        /// The entries.
+        /// Entries and position of the part.
         part: Box<DocumentPart>,
     },
-    /// Asks for the changes after a version, or for the first part of the document.
+    /// Asks for the changes after a version. The answer is the first part of the document if the
+    /// changes are no longer kept.
     Pull {
         /// Version in force on the sender.
         after: Version,
     },
-    /// Asks for the entries that follow.
+    /// Asks for the part of the document that starts after a position.
     PullPart {
-        /// Place reached.
+        /// Position that the sender's copy has reached.
         cursor: DocumentCursor,
     },
-    /// Asks for withdrawn keys.
+    /// Asks for a page of withdrawn keys.
     PullWithdrawn {
-        /// Key reached.
+        /// Last key of the page before; `None` asks for the first page.
         after: Option<KeyId>,
     },
-    /// Answer to [`FeedMessage::Ask`].
+    /// Answers a [`FeedMessage::Ask`].
     Version {
-        /// The sender leads the log, holds a lease, and has applied all that was committed.
+        /// Whether the sender leads the log, holds a lease, and has applied all committed changes.
         leading: bool,
         /// Version in force on the sender.
         version: Version,
         /// First page of the sender's [`Withdrawals`].
         withdrawals: Vec<Withdrawal>,
     },
-    /// Withdrawn keys, pushed or asked for.
+    /// Carries withdrawn keys, pushed or as an answer.
     Withdrawn {
-        /// Some of the sender's [`Withdrawals`].
+        /// Page of the sender's [`Withdrawals`], or those that it has just learned of.
         withdrawals: Vec<Withdrawal>,
     },
 }
 
 impl FeedMessage {
+    /// Creates a [`FeedMessage::Part`] with the part of `document` that starts after `cursor`.
     pub(crate) fn part(document: &Document, cursor: DocumentCursor) -> Self {
         Self::Part {
-            part: Box::new(document.part(cursor)),
+            part: Box::new(document.read_part(cursor)),
         }
     }
 }
--- a/crates/ebonystand-core/src/feed_output.rs
+++ b/crates/ebonystand-core/src/feed_output.rs
@@ -1,44 +1,45 @@
 use super::*;
 
-/// What [`Feed`] asks its process to do, in this order.
+/// Action that [`Feed`] asks the daemon to carry out, in the order given.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FeedOutput {
-    /// Put a change in force: [`Catalog::follow`].
+    /// A change is to be put in force with [`Catalog::apply_accepted`].
     Apply {
-        /// The change; always of the next version.
+        /// Change that makes the next version.
         change: AcceptedChange,
     },
-    /// Put a document in force: [`Catalog::install`].
+    /// A document is to be put in force with [`Catalog::install`].
     Install {
-        /// The document; always newer.
+        /// Document of a version newer than the one in force.
         document: Box<Document>,
     },
-    /// Append to the log; asked of its leader only, and again until the document shows it.
+    /// A change is to be proposed to the log. Only its leader gets this output, and again until the
+    /// document shows the change.
     Propose {
-        /// The change.
+        /// Request to propose.
         req: ChangeRequest,
     },
-    /// A question for a newer configuration ended; only to be noted.
+    /// A pull has ended, to be logged.
     PullEnded {
-        /// How.
-        end: PullEnd,
-        /// The VM that was asked.
+        /// Outcome of the pull.
+        end: PullOutcome,
+        /// Name of the peer that was asked.
         from: VmId,
-        /// Time since the question; none for a late answer.
+        /// Time since the pull was sent; `None` for a late answer.
         waited: Option<Duration>,
     },
-    /// The VM may serve from now on.
+    /// The VM is ready to serve requests.
     Ready,
-    /// Send a message.
+    /// A message is to be sent to a VM.
     Send {
-        /// What.
+        /// Content of the message.
         message: FeedMessage,
-        /// Where to.
+        /// Name of the receiver.
         to: VmId,
     },
-    /// A key works no more: end what runs with it.
+    /// A key has been withdrawn; requests that run with it are to be ended.
     Withdrawn {
-        /// The key.
+        /// Name of the key.
         key: KeyId,
     },
 }
--- a/crates/ebonystand-core/src/feed_peers.rs
+++ b/crates/ebonystand-core/src/feed_peers.rs
@@ -1,6 +1,6 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg};
 
-/// The VMs that a VM exchanges the configuration with.
+/// Live VMs and members of the log that a VM exchanges the configuration with.
 #[derive(Clone, Debug)]
 pub(crate) struct FeedPeers {
     far: Vec<VmId>,
@@ -10,10 +10,12 @@
 }
 
 impl FeedPeers {
-    const ASKED_FAR: usize = 4;
-    const ASKED_NEAR: usize = 8;
-    /// One in so many of those that news is passed on to is of another region.
-    const FAN_OUT_FAR: usize = 4;
+    /// Number of VMs of other regions that a starting VM asks.
+    const START_FAR: usize = 4;
+    /// Number of VMs of its own region that a starting VM asks.
+    const START_NEAR: usize = 8;
+    /// Of this many peers that a message is pushed to, one is of another region.
+    const FAR_DIVISOR: usize = 4;
 
     pub(crate) fn new(own: VmId, members: Vec<VmId>) -> Self {
         Self {
@@ -24,18 +26,19 @@
         }
     }
 
-    /// Whom a starting VM asks: the log's members, and some of both regions' VMs.
-    pub(crate) fn asked(&self, rng: &mut Pcg64Mcg) -> BTreeSet<VmId> {
+    /// Returns the VMs that a starting VM asks for their version: the log's members, and random VMs
+    /// of this and other regions.
+    pub(crate) fn pick_for_start(&self, rng: &mut Pcg64Mcg) -> BTreeSet<VmId> {
         let mut asked: BTreeSet<VmId> = self.members.iter().cloned().collect();
-        asked.extend(pick(&self.near, Self::ASKED_NEAR, rng));
-        asked.extend(pick(&self.far, Self::ASKED_FAR, rng));
+        asked.extend(pick(&self.near, Self::START_NEAR, rng));
+        asked.extend(pick(&self.far, Self::START_FAR, rng));
         asked.remove(&self.own);
         asked
     }
 
-    /// `count` VMs that a VM passes news on to.
-    pub(crate) fn fan_out(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<VmId> {
-        let far_count = (count / Self::FAN_OUT_FAR).min(self.far.len());
+    /// Returns up to `count` random VMs to push a message to.
+    pub(crate) fn pick_for_fan_out(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<VmId> {
+        let far_count = (count / Self::FAR_DIVISOR).min(self.far.len());
         let mut to = pick(&self.near, count - far_count, rng);
         to.extend(pick(&self.far, count - to.len(), rng));
         to
@@ -45,12 +48,13 @@
         self.far.is_empty() && self.near.is_empty()
     }
 
-    /// Whether this VM is a member of the log.
+    /// Returns whether this VM is a member of the log.
     pub(crate) fn is_member(&self) -> bool {
         self.members.contains(&self.own)
     }
 
-    pub(crate) fn set(&mut self, far: Vec<VmId>, near: Vec<VmId>) {
+    /// Sets the live VMs of other regions and of this one.
+    pub(crate) fn set_live(&mut self, far: Vec<VmId>, near: Vec<VmId>) {
         self.far = far;
         self.near = near;
     }
@@ -60,7 +64,7 @@
     }
 }
 
-/// Up to `count` different VMs.
+/// Returns up to `count` different random VMs.
 fn pick(vms: &[VmId], count: usize, rng: &mut Pcg64Mcg) -> Vec<VmId> {
     let count = count.min(vms.len());
     let mut picked = BTreeSet::new();
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -28,7 +28,6 @@
     observed_load::ObservedLoad,
     open_ask::OpenAsk,
     orderer_phase::OrdererPhase,
-    parts_answered::PartsAnswered,
     pick::Pick,
     prefix_hints::PrefixHints,
     prober::Prober,
@@ -42,6 +41,7 @@
     run_report::RunReport,
     rustc_hash::{FxHashMap, FxHashSet},
     seed_addresses::SeedAddresses,
+    sent_parts::SentParts,
     serde::{Deserialize, Serialize},
     slack_entry::SlackEntry,
     slack_history::SlackHistory,
@@ -141,7 +141,7 @@
     presets::Presets,
     priority::Priority,
     proposal_fault::ProposalFault,
-    pull_end::PullEnd,
+    pull_outcome::PullOutcome,
     quarantine::*,
     queue_entry::QueueEntry,
     queue_outcome::QueueOutcome,
@@ -277,7 +277,6 @@
 mod orderer_fault;
 mod orderer_phase;
 mod orderer_times;
-mod parts_answered;
 mod permit;
 mod pick;
 mod place;
@@ -290,7 +289,7 @@
 mod priority;
 mod prober;
 mod proposal_fault;
-mod pull_end;
+mod pull_outcome;
 mod quarantine;
 mod queue_entry;
 mod queue_outcome;
@@ -319,6 +318,7 @@
 mod run_state;
 mod seed_addresses;
 mod sending;
+mod sent_parts;
 mod service;
 mod slack_entry;
 mod slack_history;
--- a/crates/ebonystand-core/src/newer_peers.rs
+++ b/crates/ebonystand-core/src/newer_peers.rs
@@ -1,15 +1,16 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg};
 
-/// Peers that were lately heard to have a newer version.
+/// Peers that were lately heard to have a newer version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NewerPeers {
     peers: BTreeMap<VmId, (Version, Duration)>,
 }
 
 impl NewerPeers {
+    /// Maximum number of peers; beyond it, the one with the lowest version is dropped.
     const CAPACITY: usize = 16;
-    /// A peer that was not heard for longer cannot be reached.
-    const KEPT: Duration = Duration::from_secs(3);
+    /// Time after which a peer that was not heard of again is dropped, as it may be out of reach.
+    const MAX_AGE: Duration = Duration::from_secs(3);
 
     pub(crate) fn insert(&mut self, now: Duration, vm: VmId, version: Version) {
         self.peers.insert(vm, (version, now));
@@ -26,7 +27,7 @@
         self.peers.is_empty()
     }
 
-    /// One of the peers.
+    /// Returns a random peer.
     pub(crate) fn pick(&self, rng: &mut Pcg64Mcg) -> Option<VmId> {
         if self.peers.is_empty() {
             return None;
@@ -42,7 +43,7 @@
     /// Drops the peers that are not newer than `version` or were not heard lately.
     pub(crate) fn retain(&mut self, now: Duration, version: Version) {
         self.peers.retain(|_, (newer, heard)| {
-            *newer > version && now.saturating_sub(*heard) < Self::KEPT
+            *newer > version && now.saturating_sub(*heard) < Self::MAX_AGE
         });
     }
 }
--- a/crates/ebonystand-core/src/readiness.rs
+++ b/crates/ebonystand-core/src/readiness.rs
@@ -1,38 +1,41 @@
 use super::*;
 
-/// Whether a VM that started may serve.
+/// State that decides when a VM that has started may serve requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Readiness {
-    /// Version that the log's leader has told last; none if it has told none.
-    leader: Option<Version>,
+    /// Version that the log's leader last reported, if any.
+    leader_version: Option<Version>,
     ready: bool,
     started: Duration,
 }
 
 impl Readiness {
-    /// Takes what is known now; whether the VM has just become ready. `has_newer` tells whether a
-    /// peer is known to have a newer version.
+    /// Updates the state, and returns whether the VM has just become ready. `has_newer` says
+    /// whether a peer is known to have a newer version, and `leading` whether this VM leads the
+    /// log.
     ///
-    /// That no such peer is known is not enough: one that does not answer in time is forgotten.
-    pub(crate) fn check(
+    /// It is not enough that no such peer is known, since a peer that does not answer in time is
+    /// forgotten.
+    pub(crate) fn update(
         &mut self,
         now: Duration,
         version: Version,
         has_newer: bool,
         leading: bool,
     ) -> bool {
-        let waited = now.saturating_sub(self.started) >= Feed::START_WAIT;
-        let confirmed = self.leader.is_some() || leading || waited;
-        let caught_up = version > 0 && version >= self.leader.unwrap_or_default() && !has_newer;
+        let waited = now.saturating_sub(self.started) >= Feed::START_TIMEOUT;
+        let confirmed = self.leader_version.is_some() || leading || waited;
+        let caught_up =
+            version > 0 && version >= self.leader_version.unwrap_or_default() && !has_newer;
         let becomes_ready = !self.ready && caught_up && confirmed;
         self.ready |= becomes_ready;
         becomes_ready
     }
 
-    /// Notes the version of a VM that leads the log or not.
-    pub(crate) fn heard(&mut self, leading: bool, version: Version) {
+    /// Records the version that a VM reports, if that VM leads the log.
+    pub(crate) fn record_leader_version(&mut self, leading: bool, version: Version) {
         if leading {
-            self.leader = Some(version);
+            self.leader_version = Some(version);
         }
     }
 
@@ -42,7 +45,7 @@
 
     pub(crate) fn new(started: Duration) -> Self {
         Self {
-            leader: None,
+            leader_version: None,
             ready: false,
             started,
         }
--- a/crates/ebonystand-core/src/state_machine.rs
+++ b/crates/ebonystand-core/src/state_machine.rs
@@ -26,7 +26,7 @@
     /// Makes a change that the log's members have accepted, on a VM that is not one of them;
     /// whether it was the next one.
     pub fn follow(&mut self, accepted: &AcceptedChange) -> bool {
-        self.catalog.follow(accepted)
+        self.catalog.apply_accepted(accepted)
     }
 
     /// Takes over a newer document, on a VM that is not a member of the log; whether it was newer.
--- a/crates/ebonystand-core/src/withdrawal.rs
+++ b/crates/ebonystand-core/src/withdrawal.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// A key's withdrawal that the log may not have yet.
+/// Withdrawal of a key that the log may not have yet.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Withdrawal {
-    /// The key.
+    /// Name of the withdrawn key.
     pub key: KeyId,
-    /// Version of the configuration on the VM that accepted the withdrawal; it knew the key.
+    /// Version of the configuration on the VM that accepted the withdrawal; the key exists in that
+    /// version.
     pub version: Version,
 }
--- a/crates/ebonystand-core/tests/catalog.rs
+++ b/crates/ebonystand-core/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration as a state machine.
+//! Tests of the configuration's state machine.
 
 use {
     ebonystand_core::*,
@@ -7,7 +7,8 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-fn switch(id: &str, expected: Version, name: PresetName) -> ChangeRequest {
+/// Returns a request that puts a preset in force.
+fn switch_preset(id: &str, expected: Version, name: PresetName) -> ChangeRequest {
     ChangeRequest {
         change: Change::SwitchPreset { name },
         expected_version: Some(expected),
@@ -15,31 +16,32 @@
     }
 }
 
-/// Two operators send a change under the same version. The first to be ordered wins; the second
-/// must learn the winner's version, or it would overwrite what it has not seen.
+/// Two operators send a change with the same expected version. The first one in the log wins; the
+/// second one must get the winner's version, or it would overwrite a change that its operator has
+/// not seen.
 #[test]
 fn of_two_changes_under_an_equal_version_one_wins() {
     let mut catalog = Catalog::default();
     assert_eq!(
-        catalog.apply(&switch("a", 0, PresetName::Peak)),
+        catalog.apply(&switch_preset("a", 0, PresetName::Peak)),
         ChangeOutcome::Accepted { version: 1 }
     );
     assert_eq!(
-        catalog.apply(&switch("b", 0, PresetName::Maintenance)),
+        catalog.apply(&switch_preset("b", 0, PresetName::Maintenance)),
         ChangeOutcome::Conflict { version: 1 }
     );
     assert_eq!(catalog.document().preset, PresetName::Peak);
 }
 
-/// An operator's answer is lost and the change is sent again after another one has passed. The
-/// resend gets the first outcome and changes nothing.
+/// The answer to an operator is lost, and the change is sent again after another one has been
+/// applied. The resend must get the first outcome and change nothing.
 #[test]
 fn a_resend_gets_the_first_outcome() {
     let mut catalog = Catalog::default();
-    catalog.apply(&switch("a", 0, PresetName::Peak));
-    catalog.apply(&switch("b", 1, PresetName::Maintenance));
+    catalog.apply(&switch_preset("a", 0, PresetName::Peak));
+    catalog.apply(&switch_preset("b", 1, PresetName::Maintenance));
     assert_eq!(
-        catalog.apply(&switch("a", 0, PresetName::Peak)),
+        catalog.apply(&switch_preset("a", 0, PresetName::Peak)),
         ChangeOutcome::Accepted { version: 1 }
     );
     assert_eq!(catalog.document().preset, PresetName::Maintenance);
@@ -62,7 +64,7 @@
     }
 }
 
-/// A small document without faults.
+/// Returns a small document without faults.
 fn document() -> Document {
     Document {
         keys: [("k".into(), key("s", "w"))].into(),
@@ -89,7 +91,8 @@
     }
 }
 
-fn send(catalog: &mut Catalog, change: Change) -> ChangeOutcome {
+/// Applies a change at the catalog's current version.
+fn send_change(catalog: &mut Catalog, change: Change) -> ChangeOutcome {
     let version = catalog.version();
     let request_id = format!("{version}-{change:?}").into();
     catalog.apply(&ChangeRequest {
@@ -99,26 +102,28 @@
     })
 }
 
-fn applied() -> Catalog {
+/// Returns a catalog in which [`document`] is in force.
+fn catalog_with_document() -> Catalog {
     let mut catalog = Catalog::default();
     let document = Box::new(document());
-    let outcome = send(&mut catalog, Change::Apply { document });
+    let outcome = send_change(&mut catalog, Change::Apply { document });
     assert_eq!(outcome, ChangeOutcome::Accepted { version: 1 });
     catalog
 }
 
-/// A key was withdrawn, and an operator applies the file that gave it. It must stay withdrawn.
+/// A key is withdrawn, and then an operator applies the file that added it. It must stay withdrawn.
 #[test]
 fn an_old_document_brings_no_key_back() {
-    let mut catalog = applied();
-    send(&mut catalog, Change::WithdrawKey { id: "k".into() });
+    let mut catalog = catalog_with_document();
+    send_change(&mut catalog, Change::WithdrawKey { id: "k".into() });
     let document = Box::new(document());
-    send(&mut catalog, Change::Apply { document });
+    send_change(&mut catalog, Change::Apply { document });
     assert_eq!(catalog.version(), 3);
     assert!(catalog.document().keys["k"].withdrawn);
 }
 
-/// Each faulty change is refused with the path of its fault, and the old document stays in force.
+/// Each faulty change must be refused with the path of its fault, and the old document must stay in
+/// force.
 #[rstest]
 #[case::key_in_no_workspace(Change::GiveKey { id: "n".into(), key: key("s", "x") }, "keys.n.workspace")]
 #[case::key_given_again(Change::GiveKey { id: "k".into(), key: key("t", "w") }, "keys.k")]
@@ -136,8 +141,8 @@
     "keys.k"
 )]
 fn a_faulty_change_changes_nothing(#[case] change: Change, #[case] path: &str) {
-    let mut catalog = applied();
-    let ChangeOutcome::Refused { faults } = send(&mut catalog, change) else {
+    let mut catalog = catalog_with_document();
+    let ChangeOutcome::Refused { faults } = send_change(&mut catalog, change) else {
         panic!("it is accepted");
     };
     assert!(
@@ -155,7 +160,7 @@
     );
 }
 
-/// A document with several faults is refused with all of them.
+/// A document with several faults must be refused with all of them.
 #[test]
 fn every_fault_of_a_document_is_named() {
     let mut bad = document();
@@ -164,6 +169,7 @@
     assert_eq!(bad.faults().len(), 5);
 }
 
+/// Returns a strategy for changes, of which some are faulty.
 fn any_change() -> impl Strategy<Value = Change> {
     let id = || prop_oneof![Just("a"), Just("b"), Just("r0")].prop_map(Box::<str>::from);
     prop_oneof![
@@ -202,8 +208,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Operators race and send their requests again, in any order. Each request counts once: all its
-    /// sends get one outcome, and no two requests make the same version.
+    /// Operators send requests and resend them, in any order. Each request must be applied once:
+    /// all its sends get one outcome, and no two requests make the same version.
     #[test]
     fn each_request_counts_once(
         sends in proptest::collection::vec((0..20_usize, 0..4_u64), 1..200),
@@ -216,7 +222,7 @@
                 .get(&number)
                 .cloned()
                 .unwrap_or((known.saturating_sub(guess), None));
-            let outcome = catalog.apply(&switch(&number.to_string(), expected, PresetName::Peak));
+            let outcome = catalog.apply(&switch_preset(&number.to_string(), expected, PresetName::Peak));
             prop_assert!(outcome_before.is_none_or(|before| before == outcome));
             first.insert(number, (expected, Some(outcome)));
         }
@@ -232,20 +238,20 @@
         prop_assert_eq!(catalog.version(), made.len() as u64);
     }
 
-    /// A change is checked against what it touches only. That must say the same as looking for
-    /// faults in the whole document that it makes.
+    /// A change is checked against the entries that it touches only. The result must equal that of
+    /// checking the whole document after the change.
     #[test]
     fn checking_a_change_equals_checking_the_document(
         changes in proptest::collection::vec(any_change(), 1..40),
     ) {
-        let mut catalog = applied();
+        let mut catalog = catalog_with_document();
         for change in changes {
             let mut whole = catalog.document().clone();
             let names_absent = whole.faults_after(&change).iter().any(|fault| {
                 matches!(fault, DocumentFault::Absent { .. } | DocumentFault::KeyExists { .. })
             });
-            whole.make(&AcceptedChange { change: change.clone(), version: whole.version + 1 });
-            let accepted = matches!(send(&mut catalog, change), ChangeOutcome::Accepted { .. });
+            whole.apply(&AcceptedChange { change: change.clone(), version: whole.version + 1 });
+            let accepted = matches!(send_change(&mut catalog, change), ChangeOutcome::Accepted { .. });
             prop_assert_eq!(accepted, whole.faults().is_empty() && !names_absent);
             prop_assert!(catalog.document().faults().is_empty());
         }
--- a/crates/ebonystand-core/tests/common/feeds.rs
+++ b/crates/ebonystand-core/tests/common/feeds.rs
@@ -1,5 +1,5 @@
-//! VMs that distribute the configuration over a simulated network that loses, doubles and
-//! reorders. VM 0 is the log's only member and leads it.
+//! Simulated fleet of VMs that distribute the configuration over a network that loses, duplicates
+//! and reorders messages. VM 0 is the only member of the log and its leader.
 
 use {
     ebonystand_core::{
@@ -14,39 +14,46 @@
     },
 };
 
+/// Step of the simulated clock.
 pub const STEP: Duration = Duration::from_millis(50);
 
+/// VM of the simulated fleet.
 pub struct Vm {
     pub catalog: Catalog,
     pub feed: Feed,
-    /// Highest version that it had in force while it was ready; kept over restarts.
-    pub served: Version,
+    /// Highest version that the VM had in force while it was ready, kept over restarts.
+    pub highest_served: Version,
 }
 
-/// A VM's link, which carries one message after another each way.
+/// Link of a VM, which carries one message after another in each direction.
 #[derive(Clone)]
 pub struct Link {
     pub bytes_per_s: f64,
+    /// Time when the inbound direction is next idle.
     free_in: Duration,
+    /// Time when the outbound direction is next idle.
     free_out: Duration,
 }
 
-pub struct Feeds {
+/// VMs, their network and the observer that checks each version in force.
+pub struct FeedFleet {
     /// Bytes sent by all VMs.
     pub bytes: u64,
-    /// Links that are cut, both ways.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// What each version's document is, by the log's member.
+    /// Pairs of VMs that cannot reach each other in either direction.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Document of each version on the log's member.
     pub history: BTreeMap<Version, Document>,
-    /// Links of the VMs; empty if they carry any number of bytes at once.
+    /// Links of the VMs; empty if they have unlimited bandwidth.
     pub links: Vec<Link>,
+    /// Probability that a message is lost, and that it is duplicated.
     pub loss: f64,
-    /// Messages sent by each VM.
+    /// Number of messages sent by each VM.
     pub messages: Vec<u64>,
     pub now: Duration,
     pub rng: Pcg64Mcg,
     pub vms: Vec<Vm>,
-    flying: Vec<(Duration, usize, usize, FeedMessage)>,
+    /// Messages by time of arrival, with sender and receiver.
+    in_flight: Vec<(Duration, usize, usize, FeedMessage)>,
 }
 
 pub fn name(vm: usize) -> VmId {
@@ -85,6 +92,8 @@
         }
     }
 
+    /// Returns the time when `bytes` that enter the link at `at` have passed it, in the direction
+    /// whose idle time `free` selects.
     fn carry(
         &mut self,
         at: Duration,
@@ -98,13 +107,13 @@
     }
 }
 
-impl Feeds {
+impl FeedFleet {
     pub fn new(count: usize, seed: u64) -> Self {
-        let vms = (0..count).map(|vm| Self::vm(vm, Catalog::default(), Duration::ZERO, seed));
+        let vms = (0..count).map(|vm| Self::new_vm(vm, Catalog::default(), Duration::ZERO, seed));
         let mut feeds = Self {
             bytes: 0,
-            cut: BTreeSet::new(),
-            flying: Vec::new(),
+            cut_links: BTreeSet::new(),
+            in_flight: Vec::new(),
             history: BTreeMap::new(),
             links: Vec::new(),
             loss: 0.0,
@@ -113,7 +122,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             vms: vms.collect(),
         };
-        (0..count).for_each(|vm| feeds.introduce(vm));
+        (0..count).for_each(|vm| feeds.set_peers(vm));
         feeds.change(Change::PutRegion {
             id: "r0".into(),
             region: Default::default(),
@@ -121,7 +130,7 @@
         feeds
     }
 
-    /// Makes a change on the member; faulty ones change nothing.
+    /// Applies a change on the log's member; a faulty one changes nothing.
     pub fn change(&mut self, change: Change) {
         let version = self.vms[0].catalog.version();
         let req = ChangeRequest {
@@ -138,28 +147,33 @@
         self.input(0, FeedInput::Committed { change });
     }
 
+    /// Passes an input to a VM's feed, and carries out the outputs.
     pub fn input(&mut self, vm: usize, input: FeedInput) {
         let Vm { catalog, feed, .. } = &mut self.vms[vm];
         let outputs = feed.step(self.now, catalog.document(), input);
         for output in outputs {
             self.output(vm, output);
         }
-        self.observe(vm);
+        self.check_version_in_force(vm);
     }
 
+    /// Advances the simulation by `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
             let now = self.now;
-            let due: Vec<_> = self.flying.extract_if(.., |(at, ..)| *at <= now).collect();
+            let due: Vec<_> = self
+                .in_flight
+                .extract_if(.., |(at, ..)| *at <= now)
+                .collect();
             for (_, from, to, message) in due {
                 let from = name(from);
                 self.input(to, FeedInput::Message { from, message });
             }
             for vm in 0..self.vms.len() {
                 if self.vms[vm].feed.deadline() <= self.now {
-                    self.hear(vm);
+                    self.gossip(vm);
                     self.input(vm, FeedInput::Tick);
                 }
             }
@@ -168,11 +182,11 @@
 
     /// Restarts a VM that has no disk.
     pub fn restart(&mut self, vm: usize) {
-        let served = self.vms[vm].served;
+        let highest_served = self.vms[vm].highest_served;
         let seed = self.rng.random();
-        self.vms[vm] = Self::vm(vm, Catalog::default(), self.now, seed);
-        self.vms[vm].served = served;
-        self.introduce(vm);
+        self.vms[vm] = Self::new_vm(vm, Catalog::default(), self.now, seed);
+        self.vms[vm].highest_served = highest_served;
+        self.set_peers(vm);
     }
 
     pub fn version(&self, vm: usize) -> Version {
@@ -180,11 +194,11 @@
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cut.contains(&(from, to)) || self.cut.contains(&(to, from))
+        self.cut_links.contains(&(from, to)) || self.cut_links.contains(&(to, from))
     }
 
-    /// Gossip: a VM hears of another's version, and so does the other.
-    fn hear(&mut self, vm: usize) {
+    /// Simulates gossip: tells a VM the version of another random VM.
+    fn gossip(&mut self, vm: usize) {
         let other = self.rng.random_range(0..self.vms.len());
         if other == vm || self.is_cut(vm, other) || self.rng.random_bool(self.loss) {
             return;
@@ -198,7 +212,8 @@
         self.input(vm, input);
     }
 
-    fn introduce(&mut self, vm: usize) {
+    /// Tells a VM its live peers, a third of which are in its region, and whether it leads the log.
+    fn set_peers(&mut self, vm: usize) {
         let all = (0..self.vms.len()).filter(|other| *other != vm);
         let (near, far) = all.partition(|other| other % 3 == vm % 3);
         let names = |vms: Vec<usize>| vms.into_iter().map(name).collect();
@@ -211,23 +226,23 @@
         self.input(vm, FeedInput::Leading { leading });
     }
 
-    /// The observer: what a ready VM has in force is the log's document of that version, and never
-    /// one older than it had before.
-    fn observe(&mut self, vm: usize) {
+    /// Checks that a ready VM has in force the log's document of its version, and never an older
+    /// version than it had before.
+    fn check_version_in_force(&mut self, vm: usize) {
         let Vm {
             catalog,
             feed,
-            served,
+            highest_served,
         } = &mut self.vms[vm];
         if !feed.is_ready() {
             return;
         }
         let version = catalog.version();
         assert!(
-            *served <= version,
-            "VM {vm} reverts from {served} to {version}"
+            *highest_served <= version,
+            "VM {vm} reverts from {highest_served} to {version}"
         );
-        if *served < version {
+        if *highest_served < version {
             let mut document = self.history.get(&version).cloned();
             if vm > 0
                 && let Some(document) = &mut document
@@ -236,13 +251,17 @@
             }
             assert_eq!(document.as_ref(), Some(catalog.document()), "VM {vm}");
         }
-        *served = version;
+        *highest_served = version;
     }
 
+    /// Carries out an output of a VM's feed.
     fn output(&mut self, vm: usize, output: FeedOutput) {
         match output {
             FeedOutput::Apply { change } => {
-                assert!(self.vms[vm].catalog.follow(&change), "out of sequence");
+                assert!(
+                    self.vms[vm].catalog.apply_accepted(&change),
+                    "out of sequence"
+                );
             }
             FeedOutput::Install { document } => {
                 assert!(self.vms[vm].catalog.install(*document), "not newer");
@@ -256,18 +275,19 @@
         }
     }
 
-    /// When a message that leaves now has come through the links of both VMs.
-    fn carry(&mut self, from: usize, to: usize, late: Duration, bytes: u64) -> Duration {
+    /// Returns the time when a message that leaves now has passed the links of both VMs.
+    fn carry(&mut self, from: usize, to: usize, delay: Duration, bytes: u64) -> Duration {
         let sent = match self.links.get_mut(from) {
             Some(link) => link.carry(self.now, bytes, |link| &mut link.free_out),
             None => self.now,
         };
         match self.links.get_mut(to) {
-            Some(link) => link.carry(sent + late, bytes, |link| &mut link.free_in),
-            None => sent + late,
+            Some(link) => link.carry(sent + delay, bytes, |link| &mut link.free_in),
+            None => sent + delay,
         }
     }
 
+    /// Puts a message on the network, which may lose or duplicate it.
     fn send(&mut self, from: usize, to: usize, message: &FeedMessage) {
         self.messages[from] += 1;
         let message_bytes = postcard::to_stdvec(message).expect("it encodes");
@@ -281,18 +301,18 @@
             if self.rng.random_bool(self.loss) {
                 continue;
             }
-            let late = Duration::from_millis(self.rng.random_range(1..400));
+            let delay = Duration::from_millis(self.rng.random_range(1..400));
             let message = message.clone();
-            let at = self.carry(from, to, late, bytes);
-            self.flying.push((at, from, to, message));
+            let at = self.carry(from, to, delay, bytes);
+            self.in_flight.push((at, from, to, message));
         }
     }
 
-    fn vm(vm: usize, catalog: Catalog, now: Duration, seed: u64) -> Vm {
+    fn new_vm(vm: usize, catalog: Catalog, now: Duration, seed: u64) -> Vm {
         Vm {
             catalog,
             feed: Feed::new(name(vm), vec![name(0)], now, seed ^ vm as u64),
-            served: 0,
+            highest_served: 0,
         }
     }
 }
--- a/crates/ebonystand-core/tests/feed.rs
+++ b/crates/ebonystand-core/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Distribution of the configuration.
+//! Tests of the distribution of the configuration to all VMs.
 
 #[path = "common/feeds.rs"]
 mod feeds;
@@ -8,7 +8,7 @@
         AcceptedChange, CallKind, Change, Document, Feed, FeedInput, FeedMessage, GatewayRoute,
         GatewayService, PresetName, Routing, SplitPart, Version,
     },
-    feeds::{Feeds, Link, give_key, put_workspace},
+    feeds::{FeedFleet, Link, give_key, put_workspace},
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
     rstest::rstest,
@@ -17,7 +17,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn random_change(feeds: &mut Feeds) -> Change {
+/// Returns a random change; some are faulty and are refused.
+fn random_change(feeds: &mut FeedFleet) -> Change {
     let id = format!("w{}", feeds.rng.random_range(0..9));
     let rate = feeds.rng.random_range(1..1_000);
     match feeds.rng.random_range(0..20) {
@@ -36,13 +37,13 @@
     }
 }
 
-/// VMs without disks are restarted while changes are spread over a network that loses, doubles and
-/// reorders a fifth of the messages. A caller of a ready VM must never meet an older configuration
-/// than before, nor a mixture of two, and all must end at the newest.
+/// VMs without disks restart while changes spread over a network that loses, duplicates and
+/// reorders a fifth of the messages. A caller of a ready VM must never see an older configuration
+/// than before, nor a mixture of two, and all VMs must end at the newest one.
 #[test]
 fn no_vm_ever_reverts() {
     for seed in 0..40 {
-        let mut feeds = Feeds::new(9, seed);
+        let mut feeds = FeedFleet::new(9, seed);
         feeds.loss = 0.2;
         for _ in 0..300 {
             let change = random_change(&mut feeds);
@@ -63,13 +64,13 @@
     }
 }
 
-/// A document of several parts is replaced, so that VMs that serve copy it, and it goes on changing
-/// meanwhile. Parts of different versions must not be put in force as one document, nor may a VM
-/// that starts serve by an early version of it.
+/// A document of several parts is replaced, so that serving VMs copy it, and keeps changing
+/// meanwhile. Parts of different versions must not be put in force as one document, and a VM that
+/// starts must not serve with an early version of it.
 #[test]
 fn a_document_copied_while_it_changes_is_of_one_version() {
     for seed in (0..8).chain([93, 167]) {
-        let mut feeds = Feeds::new(4, seed);
+        let mut feeds = FeedFleet::new(4, seed);
         feeds.change(put_workspace("w0", 1));
         for key in 0..3 * Document::PART_ENTRIES {
             feeds.change(give_key(&format!("k{key:04}"), "w0"));
@@ -95,15 +96,17 @@
     }
 }
 
-fn with_keys(count: usize) -> Feeds {
-    let mut feeds = Feeds::new(count, 7);
+/// Returns a fleet on all of whose VMs the key `k0` is in force.
+fn fleet_with_key(count: usize) -> FeedFleet {
+    let mut feeds = FeedFleet::new(count, 7);
     feeds.change(put_workspace("w0", 1));
     feeds.change(give_key("k0", "w0"));
     feeds.run(10 * SECOND);
     feeds
 }
 
-fn withdrawn(feeds: &Feeds, vms: impl Iterator<Item = usize>) -> bool {
+/// Returns whether all of the VMs know that the key `k0` is withdrawn.
+fn all_know_withdrawal(feeds: &FeedFleet, vms: impl Iterator<Item = usize>) -> bool {
     let mut vms = vms.map(|vm| &feeds.vms[vm]);
     vms.all(|vm| {
         let key = vm.catalog.document().keys.get("k0");
@@ -111,25 +114,26 @@
     })
 }
 
-/// A region is cut off from the log. An operator there withdraws a key on one of its VMs: callers
-/// of all its VMs must be refused within two seconds, though the log cannot be asked. After the
-/// heal the log makes it permanent, and nothing brings the key back.
+/// A region is cut off from the log, and an operator there withdraws a key on one of its VMs. All
+/// VMs of the region must refuse the key within two seconds, although the log is out of reach. Once
+/// the partition heals, the log must make the withdrawal permanent, and nothing may restore the
+/// key.
 #[test]
 fn a_withdrawal_in_a_cut_off_region_reaches_all_its_vms_and_then_the_log() {
-    let mut feeds = with_keys(30);
+    let mut feeds = fleet_with_key(30);
     feeds.loss = 0.1;
     let inside = |vm: &usize| vm % 3 == 1;
     let links = (0..30).flat_map(|from| (0..30).map(move |to| (from, to)));
-    feeds.cut = links
+    feeds.cut_links = links
         .filter(|(from, to)| inside(from) != inside(to))
         .collect();
     feeds.input(4, FeedInput::Withdraw { key: "k0".into() });
     feeds.run(2 * SECOND);
-    assert!(withdrawn(&feeds, (0..30).filter(inside)));
-    assert!(!withdrawn(&feeds, 0..1));
-    feeds.cut.clear();
+    assert!(all_know_withdrawal(&feeds, (0..30).filter(inside)));
+    assert!(!all_know_withdrawal(&feeds, 0..1));
+    feeds.cut_links.clear();
     feeds.run(5 * SECOND);
-    assert!(withdrawn(&feeds, 0..30));
+    assert!(all_know_withdrawal(&feeds, 0..30));
     assert!(feeds.vms[0].catalog.document().keys["k0"].withdrawn);
     feeds.run(5 * SECOND);
     let pending = |vm: &feeds::Vm| vm.feed.withdrawals().pending().count();
@@ -137,7 +141,7 @@
 }
 
 /// A member of the log lags behind another member, which pushes a change. It must wait for the log:
-/// what it put in force by itself would not be in the state that its log goes on from.
+/// a change that it put in force by itself would be missing from the state on which its log builds.
 #[test]
 fn a_member_of_the_log_takes_changes_from_the_log_only() {
     let mut feed = Feed::new("a".into(), vec!["a".into(), "b".into()], Duration::ZERO, 1);
@@ -155,23 +159,23 @@
     assert_eq!(outputs, []);
 }
 
-/// Hundreds of keys are withdrawn on a VM that reaches nobody, more than a message carries. After
-/// the heal all VMs must learn of each, and the log must have them.
+/// Hundreds of keys, more than a message carries, are withdrawn on a VM that reaches no other. Once
+/// the partition heals, all VMs must learn of each withdrawal, and the log must have them all.
 #[test]
 fn many_withdrawals_on_a_vm_that_reaches_nobody_arrive_after_the_heal() {
     const KEYS: usize = 300;
-    let mut feeds = with_keys(9);
+    let mut feeds = fleet_with_key(9);
     for key in 0..KEYS {
         feeds.change(give_key(&format!("n{key}"), "w0"));
     }
     feeds.run(5 * SECOND);
-    feeds.cut = (0..9).filter(|vm| *vm != 4).map(|vm| (4, vm)).collect();
+    feeds.cut_links = (0..9).filter(|vm| *vm != 4).map(|vm| (4, vm)).collect();
     for key in 0..KEYS {
         let key = format!("n{key}").into();
         feeds.input(4, FeedInput::Withdraw { key });
     }
     feeds.run(SECOND);
-    feeds.cut.clear();
+    feeds.cut_links.clear();
     feeds.run(3 * SECOND);
     for vm in &feeds.vms {
         let known = vm.feed.withdrawals().pending().count();
@@ -188,8 +192,8 @@
 /// again after a bounded wait, with the highest version among the VMs that it reaches.
 #[test]
 fn a_restart_in_a_cut_off_region_takes_what_its_peers_have() {
-    let mut feeds = with_keys(9);
-    feeds.cut = (0..9)
+    let mut feeds = fleet_with_key(9);
+    feeds.cut_links = (0..9)
         .filter(|vm| vm % 3 != 1)
         .flat_map(|vm| [(vm, 1), (vm, 4), (vm, 7)])
         .collect();
@@ -203,13 +207,14 @@
     assert_eq!(feeds.version(4), version);
 }
 
-/// What a change costs a VM in messages, and how long it takes, at 9 VMs and at 1,000.
+/// Guards against a change whose messages per VM or time to reach all VMs grow with the fleet, at
+/// 9, 100 and 1,000 VMs. The figures are printed.
 #[rstest]
 #[case(9)]
 #[case(100)]
 #[case(1_000)]
 fn a_change_costs_a_vm_the_same_in_any_fleet(#[case] count: usize) {
-    let mut feeds = with_keys(count);
+    let mut feeds = fleet_with_key(count);
     for rate in 3..9 {
         feeds.change(put_workspace("w2", rate));
         feeds.run(2 * SECOND);
@@ -235,7 +240,7 @@
     assert!(took <= 9 * SECOND);
 }
 
-/// A routing as an operator sends it, with the text that it was read from.
+/// Returns a routing as an operator sends it, with its source text.
 fn routing(revision: u64, routes: usize) -> Routing {
     let mut rng = Pcg64Mcg::seed_from_u64(revision);
     let route = |number: usize| GatewayRoute {
@@ -275,22 +280,22 @@
     }
 }
 
-/// Callers' requests ran outside the homes of their routes, and at upstreams that were leaving,
-/// for as long as half a minute after an operator had added routes.
+/// Guards against callers' requests being served outside the homes of their routes, or by upstreams
+/// that are leaving, for half a minute after an operator adds routes.
 ///
-/// All VMs asked for a copy of the new routing at once. It held the operator's text, five times what
-/// VMs serve by, and took a link of 10 Mbit/s longer than the second for which an answer was waited
-/// for. The question then went to another VM and the copy, when it came, was thrown away. Evidence:
-/// links stayed full both ways while processors were idle, and no VM put the third routing in force
-/// until the end of the day. Lists of upstreams and confirmations waited behind the copies. No VM
-/// may go by a routing that was replaced over four seconds ago, the bound of those deployments.
+/// All VMs request a copy of the new routing at once. With the operator's text, five times the size
+/// of what VMs need to serve, a copy takes a link of 10 Mbit/s longer than the second that a VM
+/// waits for an answer. The VM then asks another peer and drops the copy when it comes. Links stay
+/// full in both directions while processors are idle, lists of upstreams and confirmations wait
+/// behind the copies, and no VM puts the third routing in force for the rest of the day. No VM may
+/// serve with a routing that was replaced over four seconds ago, the bound of those deployments.
 #[rstest]
 #[case(12)]
 #[case(93)]
 fn large_routings_in_succession_are_in_force_in_time_on_narrow_links(#[case] count: usize) {
     const APPLIED: Duration = Duration::from_secs(4);
     for seed in 0..5 {
-        let mut feeds = Feeds::new(count, seed);
+        let mut feeds = FeedFleet::new(count, seed);
         feeds.links = vec![Link::new(10.0); count];
         feeds.links[0] = Link::new(1_000.0);
         feeds.run(10 * SECOND);
@@ -308,11 +313,11 @@
     }
 }
 
-/// Guards against throwing away a copy that comes later than it is waited for: on links that carry
-/// less than one in that time no VM would ever take one, and the links would stay full.
+/// Guards against dropping a copy that arrives later than the wait for it: on links that carry less
+/// than one copy in that time, no VM would ever get one, and the links would stay full.
 #[test]
 fn a_copy_that_takes_longer_than_it_is_waited_for_is_taken() {
-    let mut feeds = Feeds::new(6, 3);
+    let mut feeds = FeedFleet::new(6, 3);
     feeds.links = vec![Link::new(1.0); 6];
     feeds.links[0] = Link::new(1_000.0);
     feeds.run(10 * SECOND);
@@ -325,8 +330,8 @@
     assert!((0..6).all(|vm| feeds.version(vm) == newest));
 }
 
-/// Guards against a VM that starts, gets no answer to its question for the newest configuration in
-/// time, and serves by the early version that it has come to.
+/// Guards against a starting VM that gets no answer to its request for the newest configuration in
+/// time, and serves with the early version that it has reached.
 #[test]
 fn a_vm_that_starts_does_not_serve_before_it_has_what_the_leader_has() {
     let mut feed = Feed::new("a".into(), vec!["b".into()], Duration::ZERO, 1);
@@ -334,7 +339,7 @@
         version: 3,
         ..Document::default()
     };
-    let told = |version| FeedInput::Message {
+    let leader_answer = |version| FeedInput::Message {
         from: "b".into(),
         message: FeedMessage::Version {
             leading: true,
@@ -342,21 +347,21 @@
             withdrawals: Vec::new(),
         },
     };
-    feed.step(Duration::ZERO, &document, told(9));
+    feed.step(Duration::ZERO, &document, leader_answer(9));
     for tick in 1..20 {
-        feed.step(tick * Feed::TICK, &document, FeedInput::Tick);
+        feed.step(tick * Feed::TICK_INTERVAL, &document, FeedInput::Tick);
         assert!(!feed.is_ready());
     }
     document.version = 9;
-    feed.step(20 * Feed::TICK, &document, told(9));
+    feed.step(20 * Feed::TICK_INTERVAL, &document, leader_answer(9));
     assert!(feed.is_ready());
 }
 
-/// Guards against parts of a copy that come later than they are waited for, one after another, and
-/// are asked for so often that the link stays full.
+/// Guards against parts of a copy that arrive later than the wait for them, one after another, and
+/// are requested so often that the link stays full.
 #[test]
 fn parts_that_take_longer_than_they_are_waited_for_are_taken() {
-    let mut feeds = Feeds::new(4, 3);
+    let mut feeds = FeedFleet::new(4, 3);
     feeds.change(put_workspace("w0", 1));
     for key in 0..4 * Document::PART_ENTRIES {
         feeds.change(give_key(&format!("k{key:04}"), "w0"));
