--- a/crates/ebonystand-core/benches/configuration.rs
+++ b/crates/ebonystand-core/benches/configuration.rs
@@ -15,7 +15,7 @@
     for number in 0..workspaces {
         let id: WorkspaceId = format!("w{number:05}").into();
         let key = Key {
-            hash: KeyHash::of(&id),
+            hash: KeyHash::from_secret(&id),
             withdrawn: false,
             workspace: id.clone(),
         };
@@ -23,7 +23,7 @@
         document.workspaces.insert(id, workspace(1));
     }
     let mut catalog = Catalog::default();
-    catalog.install(document);
+    catalog.install_document(document);
     catalog
 }
 
--- a/crates/ebonystand-core/src/catalog.rs
+++ b/crates/ebonystand-core/src/catalog.rs
@@ -41,7 +41,7 @@
     }
 
     /// Replaces the whole document with a newer one; returns whether it was newer.
-    pub fn install(&mut self, document: Document) -> bool {
+    pub fn install_document(&mut self, document: Document) -> bool {
         if document.version <= self.version() {
             return false;
         }
--- a/crates/ebonystand-core/src/document/document_change.rs
+++ b/crates/ebonystand-core/src/document/document_change.rs
@@ -88,7 +88,7 @@
             Change::RemoveWorkspace { id } => {
                 check_exists(&self.workspaces, "workspaces", id, &mut faults);
             }
-            Change::SetPreset { name, preset } => preset.faults(*name, &mut faults),
+            Change::SetPreset { name, preset } => preset.check(*name, &mut faults),
             Change::WithdrawKey { id } => check_exists(&self.keys, "keys", id, &mut faults),
         }
         faults
--- a/crates/ebonystand-core/src/document/state.rs
+++ b/crates/ebonystand-core/src/document/state.rs
@@ -35,7 +35,7 @@
         for (id, key) in &self.keys {
             self.check_key(id, key, &mut faults);
         }
-        self.presets.faults(&mut faults);
+        self.presets.check(&mut faults);
         for (id, region) in &self.regions {
             self.check_region(id, region, &mut faults);
         }
--- a/crates/ebonystand-core/src/drain_status.rs
+++ b/crates/ebonystand-core/src/drain_status.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Answer to `POST /v1/operator/drain`: the VM has left the entry list.
+/// Answer to `POST /v1/operator/drain`, given once the VM has left the entry list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainStatus {
-    /// Requests that it finishes before it stops.
+    /// Number of open requests that the VM finishes before it stops.
     pub in_flight: u64,
-    /// The VM.
+    /// Name of the VM.
     pub vm: VmId,
 }
--- a/crates/ebonystand-core/src/entry_list.rs
+++ b/crates/ebonystand-core/src/entry_list.rs
@@ -1,25 +1,26 @@
 use {super::*, rand::RngExt, rand_pcg::Pcg64Mcg, xxhash_rust::xxh3::xxh3_64};
 
-/// Ordered list of the VMs that a caller may use, best first.
+/// Ordered list of the VMs that a caller may send requests to, the preferred one first.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryList {
-    /// The VMs.
+    /// VMs in order of preference, [`EntryList::MAX_ENTRIES`] at most.
     pub entries: Vec<EntryVm>,
-    /// Time in seconds after which the caller asks again.
+    /// Time in seconds after which the caller must request a new list.
     pub valid_for_s: u64,
 }
 
 impl EntryList {
-    /// VMs that a list names.
-    pub const LONGEST: usize = 8;
-    /// Orders that the callers of one key are spread over: one large workspace may have only one
-    /// key, and must not press all its traffic into one VM.
-    const SPREAD: u64 = 8;
-    /// Validity in seconds. Leaving VMs go on serving for longer than this.
+    /// Maximum number of VMs in a list.
+    pub const MAX_ENTRIES: usize = 8;
+    /// Number of different orders given to the callers of one key. A large workspace may have only
+    /// one key, whose traffic must not all go to one VM.
+    const ORDERS_PER_KEY: u64 = 8;
+    /// Time in seconds for which a list is valid. Leaving VMs keep serving for longer than this.
     const VALID_FOR_S: u64 = 10;
 
-    /// List for a caller near `caller` with this key: its own zone first, then its region, then
-    /// the other regions of the residency. Leaving VMs are not named.
+    /// Creates the list for a caller near `caller` that uses the key `key`: VMs in the caller's
+    /// zone come first, then those in its region, then those in the other regions of the residency.
+    /// Leaving VMs are left out.
     #[must_use]
     pub fn new(
         rng: &mut Pcg64Mcg,
@@ -28,7 +29,7 @@
         caller: &Place,
         key: &str,
     ) -> Self {
-        let order = rng.random_range(0..Self::SPREAD);
+        let order = rng.random_range(0..Self::ORDERS_PER_KEY);
         let rendezvous = Rendezvous::new(xxh3_64(key.as_bytes()).wrapping_add(order));
         let mut entries = vms
             .iter()
@@ -40,7 +41,11 @@
             (is_far, is_other_zone, !rendezvous.weight(&vm.id))
         });
         Self {
-            entries: entries.into_iter().take(Self::LONGEST).cloned().collect(),
+            entries: entries
+                .into_iter()
+                .take(Self::MAX_ENTRIES)
+                .cloned()
+                .collect(),
             valid_for_s: Self::VALID_FOR_S,
         }
     }
--- a/crates/ebonystand-core/src/entry_vm.rs
+++ b/crates/ebonystand-core/src/entry_vm.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A VM that callers may use, as membership knows it.
+/// VM that callers may send requests to, as the membership knows it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryVm {
-    /// Where it listens for callers.
+    /// Address where the VM listens for callers.
     pub address: SocketAddr,
-    /// Its name.
+    /// Name of the VM.
     pub id: VmId,
-    /// It takes no new requests.
+    /// Whether the VM takes no new requests.
     pub leaving: bool,
-    /// Where it stands.
+    /// Region and availability zone of the VM.
     pub place: Place,
 }
--- a/crates/ebonystand-core/src/feed_output.rs
+++ b/crates/ebonystand-core/src/feed_output.rs
@@ -8,7 +8,7 @@
         /// Change that makes the next version.
         change: AcceptedChange,
     },
-    /// A document is to be put in force with [`Catalog::install`].
+    /// A document is to be put in force with [`Catalog::install_document`].
     Install {
         /// Document of a version newer than the one in force.
         document: Box<Document>,
--- a/crates/ebonystand-core/src/key.rs
+++ b/crates/ebonystand-core/src/key.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// A caller's key, without its secret.
+/// API key of a workspace's callers, without its secret.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// SHA-256 of the secret.
+    /// SHA-256 of the key's secret.
     pub hash: KeyHash,
-    /// Once true, true for ever.
+    /// Whether the key has been withdrawn; never reset once true.
     pub withdrawn: bool,
-    /// Workspace that requests with this key run for.
+    /// Name of the workspace that requests with this key run for.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/key_hash.rs
+++ b/crates/ebonystand-core/src/key_hash.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// SHA-256 of a key's secret, written as 64 hexadecimal digits.
+/// SHA-256 of a key's secret, displayed as 64 hexadecimal digits.
 #[derive(Clone, Copy, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{}", hex::encode(_0))]
 pub struct KeyHash([u8; KeyHash::LEN]);
 
 impl KeyHash {
-    /// Length in bytes.
+    /// Length of the hash in bytes.
     pub const LEN: usize = 32;
 
-    /// Bytes of the digest.
+    /// Returns the bytes of the hash.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8; Self::LEN] {
         &self.0
     }
 
-    /// Digest of `secret`.
+    /// Hashes the secret of a key.
     #[must_use]
-    pub fn of(secret: &str) -> Self {
+    pub fn from_secret(secret: &str) -> Self {
         use sha2::Digest;
         Self(sha2::Sha256::digest(secret.as_bytes()).into())
     }
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -102,8 +102,8 @@
     group_status::GroupStatus,
     hard_state::HardState,
     ids::*,
+    issued_key::IssuedKey,
     key::Key,
-    key_given::KeyGiven,
     key_hash::KeyHash,
     lease_hold::LeaseHold,
     lease_id::LeaseId,
@@ -240,8 +240,8 @@
 mod hard_state;
 mod held_message;
 mod ids;
+mod issued_key;
 mod key;
-mod key_given;
 mod key_hash;
 mod lease_hold;
 mod lease_id;
--- a/crates/ebonystand-core/src/operator_error.rs
+++ b/crates/ebonystand-core/src/operator_error.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Why an operator's request was not carried out, as the operators' HTTP API answers it.
+/// Error answer of the operators' HTTP API.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[serde(rename_all = "snake_case", tag = "error")]
 #[snafu(visibility(pub))]
 pub enum OperatorError {
-    /// The body is not what the path takes.
+    /// The body does not have the form that the path requires.
     #[snafu(display("bad body: {reason}"))]
     BadBody {
-        /// Where and why, from the parser.
+        /// Position and cause, as reported by the parser.
         reason: Box<str>,
     },
-    /// No leader of the configuration's log was reached.
+    /// The VM reached no leader of the configuration's log.
     #[snafu(display(
         "no leader of the configuration's log was reached; the change {}",
         if *may_have_been_applied {
@@ -21,25 +21,25 @@
         }
     ))]
     NoLeader {
-        /// The change was sent to a leader whose answer did not come.
+        /// Whether the change was sent to a leader whose answer did not arrive.
         may_have_been_applied: bool,
     },
-    /// No or no valid operators' credential.
+    /// The request carries no valid operators' credential.
     #[snafu(display("no valid operators' credential"))]
     Unauthorized,
-    /// The configuration has no such key.
+    /// The configuration has no key with this name.
     #[snafu(display("no key `{key}`"))]
     UnknownKey {
-        /// The key.
+        /// Name of the key.
         key: KeyId,
     },
-    /// The API has no such path.
+    /// The API has no such path, or not with this method.
     #[snafu(display("no such path or method"))]
     UnknownPath,
 }
 
 impl OperatorError {
-    /// HTTP status that goes with the error.
+    /// Returns the HTTP status of the answer.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
--- a/crates/ebonystand-core/src/operator_status.rs
+++ b/crates/ebonystand-core/src/operator_status.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// State of the system as one VM sees it: `GET /v1/operator/status`.
+/// Answer to `GET /v1/operator/status`: state of the system as one VM sees it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OperatorStatus {
-    /// Allowances that this VM holds a share of.
+    /// Status of the allowances that this VM holds a share of.
     pub allowances: Vec<WorkspaceAllowanceStatus>,
-    /// This VM takes no new work.
+    /// Whether this VM takes no new work.
     pub draining: bool,
-    /// Groups that this VM is a member of.
+    /// Status of the replicated groups that this VM is a member of.
     pub groups: Vec<GroupStatus>,
-    /// The preset in force.
+    /// Name of the preset in force.
     pub preset: PresetName,
-    /// This VM serves.
+    /// Whether this VM is ready to serve requests.
     pub ready: bool,
-    /// Upstreams of the configuration.
+    /// Status of each upstream of the configuration.
     pub upstreams: Vec<UpstreamStatus>,
     /// Version of the configuration in force on this VM.
     pub version: Version,
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmId,
-    /// VMs that this VM knows of, itself included.
+    /// Status of each VM that this VM knows, itself included.
     pub vms: Vec<VmStatus>,
-    /// Withdrawn keys that the log does not have yet.
+    /// Number of withdrawn keys that the log does not have yet.
     pub withdrawals_pending: u64,
 }
--- a/crates/ebonystand-core/src/place.rs
+++ b/crates/ebonystand-core/src/place.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Where a VM or an upstream stands.
+/// Location of a VM or an upstream.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Place {
-    /// Region.
+    /// Name of the region.
     pub region: RegionId,
-    /// Availability zone in it.
+    /// Name of the availability zone in the region.
     pub zone: ZoneId,
 }
--- a/crates/ebonystand-core/src/preset.rs
+++ b/crates/ebonystand-core/src/preset.rs
@@ -1,30 +1,33 @@
 use super::*;
 
-/// Weights and limits of the policy while a preset is in force.
+/// Weights and limits of the routing policy, in force while their preset is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Preset {
-    /// Milliseconds of predicted time that a unit of upstream cost weighs.
+    /// Predicted time in milliseconds that weighs as much as one unit of an upstream's cost.
     pub cost_weight_ms: u64,
-    /// A stream whose upstream is silent for longer between two tokens is broken off.
+    /// Time in milliseconds between two tokens after which a stream whose upstream is silent is
+    /// broken off.
     pub between_tokens_ms: u64,
-    /// Deadline of a request that brings none.
+    /// Deadline in milliseconds of a request that names none.
     pub deadline_ms: u64,
-    /// An upstream that sends nothing of its answer for longer is given up on.
+    /// Time in milliseconds after which an upstream that has sent nothing of its answer is given
+    /// up.
     pub first_byte_ms: u64,
-    /// Retries, in thousandths of the requests of the last seconds, that a VM may add.
+    /// Maximum number of retries that a VM adds, in thousandths of the requests of the last
+    /// seconds.
     pub retry_budget_permille: u64,
-    /// Predicted gain in milliseconds below which a request stays in its region.
+    /// Predicted gain in milliseconds below which a request is not sent to another region.
     pub send_away_gain_ms: u64,
-    /// Predicted time to first token in milliseconds above which a request is shed at once.
+    /// Predicted time to the first token in milliseconds above which a request is shed at once.
     pub shed_above_ms: u64,
-    /// Time in milliseconds over which a cold upstream is brought to its full share.
+    /// Time in milliseconds over which a cold upstream's share of requests grows to its full size.
     pub slow_start_ms: u64,
 }
 
 impl Preset {
-    /// A limit of 0 would end each request at once.
-    pub(crate) fn faults(&self, name: PresetName, faults: &mut Vec<DocumentFault>) {
+    /// Adds a fault for each limit that is 0, as such a limit would end each request at once.
+    pub(crate) fn check(&self, name: PresetName, faults: &mut Vec<DocumentFault>) {
         let limits = [
             ("between_tokens_ms", self.between_tokens_ms),
             ("deadline_ms", self.deadline_ms),
--- a/crates/ebonystand-core/src/preset_name.rs
+++ b/crates/ebonystand-core/src/preset_name.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Name of a preset.
+/// Name of a preset, by the situation that it is meant for.
 #[derive(
     Clone,
     Copy,
@@ -17,14 +17,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum PresetName {
-    /// Upstreams are being worked on.
+    /// Upstreams are under maintenance.
     #[display("maintenance")]
     Maintenance,
-    /// An ordinary day.
+    /// Traffic is ordinary.
     #[default]
     #[display("ordinary")]
     Ordinary,
-    /// A peak.
+    /// Traffic is at its peak.
     #[display("peak")]
     Peak,
 }
--- a/crates/ebonystand-core/src/presets.rs
+++ b/crates/ebonystand-core/src/presets.rs
@@ -1,25 +1,26 @@
 use super::*;
 
-/// The three presets.
+/// Weights and limits of all presets.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Presets {
-    /// In force while upstreams are being worked on.
+    /// Preset for times when upstreams are under maintenance.
     pub maintenance: Preset,
-    /// In force on ordinary days.
+    /// Preset for ordinary traffic.
     pub ordinary: Preset,
-    /// In force at peaks.
+    /// Preset for peaks of traffic.
     pub peak: Preset,
 }
 
 impl Presets {
-    pub(crate) fn faults(&self, faults: &mut Vec<DocumentFault>) {
-        self.maintenance.faults(PresetName::Maintenance, faults);
-        self.ordinary.faults(PresetName::Ordinary, faults);
-        self.peak.faults(PresetName::Peak, faults);
+    /// Adds the faults of all presets to `faults`.
+    pub(crate) fn check(&self, faults: &mut Vec<DocumentFault>) {
+        self.maintenance.check(PresetName::Maintenance, faults);
+        self.ordinary.check(PresetName::Ordinary, faults);
+        self.peak.check(PresetName::Peak, faults);
     }
 
-    /// The preset of that name.
+    /// Returns the preset with this name.
     #[must_use]
     pub fn get(&self, name: PresetName) -> &Preset {
         match name {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The preset of that name, to be changed.
+    /// Returns the preset with this name for modification.
     pub fn get_mut(&mut self, name: PresetName) -> &mut Preset {
         match name {
             PresetName::Maintenance => &mut self.maintenance,
--- a/crates/ebonystand-core/src/service.rs
+++ b/crates/ebonystand-core/src/service.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// A plain service: an application that is not a model engine.
+/// Plain service: an HTTP application that is not a model engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Calls that the service offers; anything else is refused. The first match counts.
+    /// Calls that the service offers, of which the first match applies to a request. A request that
+    /// matches none is refused.
     pub calls: Vec<Call>,
-    /// Tokens that one call takes from its workspace's allowance.
+    /// Tokens that one call takes from the workspace's allowance.
     pub tokens_per_call: Tokens,
 }
 
 impl Service {
-    /// The call that a request with this method and path asks for.
+    /// Returns the call that matches a request's method and path, if any.
     #[must_use]
-    pub fn call(&self, method: &str, path: &str) -> Option<&Call> {
+    pub fn find_call(&self, method: &str, path: &str) -> Option<&Call> {
         self.calls.iter().find(|call| call.matches(method, path))
     }
 }
--- a/crates/ebonystand-core/src/state_machine.rs
+++ b/crates/ebonystand-core/src/state_machine.rs
@@ -31,7 +31,7 @@
 
     /// Takes over a newer document, on a VM that is not a member of the log; whether it was newer.
     pub fn install(&mut self, document: Document) -> bool {
-        self.catalog.install(document)
+        self.catalog.install_document(document)
     }
 
     /// The once-only orders.
--- a/crates/ebonystand-core/src/target.rs
+++ b/crates/ebonystand-core/src/target.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// What a request is for.
+/// Model or plain service that a request is addressed to.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Target {
-    /// A language model.
+    /// Language model with this name.
     #[display("model {_0}")]
     Model(ModelId),
-    /// A plain service.
+    /// Plain service with this name.
     #[display("service {_0}")]
     Service(ServiceId),
 }
--- a/crates/ebonystand-core/src/upstream.rs
+++ b/crates/ebonystand-core/src/upstream.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// A server that requests are sent to.
+/// Server that the gateway sends requests to: a model engine or a server of a plain service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Where it listens for HTTP.
+    /// Address where the upstream listens for HTTP.
     pub address: SocketAddr,
-    /// Cost of a thousand tokens or of a call, in the operators' own unit.
+    /// Cost of a thousand tokens or of one call, in a unit chosen by the operators.
     pub cost: u64,
-    /// It refuses an order that carries a lower fencing number than one it has seen.
+    /// Whether the upstream refuses an order whose fencing token is lower than one it has seen.
     pub enforces_fencing: bool,
-    /// What it serves.
+    /// Models or service that the upstream serves.
     pub kind: UpstreamKind,
-    /// It finishes what it has and gets no new work.
+    /// Whether the upstream finishes its open requests and gets no new ones.
     pub leaving: bool,
-    /// Region it stands in.
+    /// Region of the upstream.
     pub region: RegionId,
-    /// Tokens a second that it can generate, or calls a second that it can answer.
+    /// Capacity in generated tokens per second, or in calls per second for a plain service.
     pub speed: u64,
-    /// Availability zone it stands in.
+    /// Availability zone of the upstream.
     pub zone: ZoneId,
 }
--- a/crates/ebonystand-core/src/upstream_kind.rs
+++ b/crates/ebonystand-core/src/upstream_kind.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// What an upstream serves.
+/// Kind of an upstream, with the models or the service that it serves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// A model engine.
+    /// The upstream is a model engine.
     Model {
-        /// Models it has loaded.
+        /// Models that the engine has loaded.
         models: BTreeSet<ModelId>,
     },
-    /// A plain service.
+    /// The upstream is a server of a plain service.
     Service {
-        /// Service it is a server of.
+        /// Name of the service.
         service: ServiceId,
     },
 }
 
 impl UpstreamKind {
-    /// What requests may be sent there for.
+    /// Iterates over the targets of requests that may be sent to the upstream.
     pub fn targets(&self) -> impl Iterator<Item = Target> + '_ {
         let (models, service) = match self {
             Self::Model { models } => (Some(models), None),
--- a/crates/ebonystand-core/src/workspace.rs
+++ b/crates/ebonystand-core/src/workspace.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// What a customer's callers run for: an allowance, keys and a residency.
+/// Workspace of a customer: the allowance, home region and residency that apply to its callers'
+/// requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Tokens that may be taken at once over all VMs.
+    /// Capacity of the token bucket, in tokens that all VMs together may take at once.
     pub burst: Tokens,
-    /// Region that its order keys belong to unless they name another.
+    /// Region that the workspace's order keys belong to unless they name another one.
     pub home: RegionId,
-    /// Tokens a second over all VMs.
+    /// Refill rate of the token bucket, in tokens per second for all VMs together.
     pub rate: Tokens,
-    /// Regions that its requests may be served in; never empty.
+    /// Regions in which the workspace's requests may be served; never empty.
     pub residency: BTreeSet<RegionId>,
 }
--- a/crates/ebonystand-core/tests/catalog.rs
+++ b/crates/ebonystand-core/tests/catalog.rs
@@ -58,7 +58,7 @@
 
 fn key(secret: &str, workspace: &str) -> Key {
     Key {
-        hash: KeyHash::of(secret),
+        hash: KeyHash::from_secret(secret),
         withdrawn: false,
         workspace: workspace.into(),
     }
--- a/crates/ebonystand-core/tests/common/feeds.rs
+++ b/crates/ebonystand-core/tests/common/feeds.rs
@@ -76,7 +76,7 @@
     Change::GiveKey {
         id: id.into(),
         key: Key {
-            hash: KeyHash::of(id),
+            hash: KeyHash::from_secret(id),
             withdrawn: false,
             workspace: workspace.into(),
         },
@@ -264,7 +264,10 @@
                 );
             }
             FeedOutput::Install { document } => {
-                assert!(self.vms[vm].catalog.install(*document), "not newer");
+                assert!(
+                    self.vms[vm].catalog.install_document(*document),
+                    "not newer"
+                );
             }
             FeedOutput::Propose { req } => self.change(req.change),
             FeedOutput::PullEnded { .. } | FeedOutput::Ready | FeedOutput::Withdrawn { .. } => {}
--- a/crates/ebonystand-core/tests/common/mod.rs
+++ b/crates/ebonystand-core/tests/common/mod.rs
@@ -1,17 +1,18 @@
-//! A small fleet for tests and benches of routing.
+//! Small fleet for tests and benches of routing.
 #![allow(dead_code)]
 
 pub mod simulation;
 
 use {ebonystand_core::*, std::collections::BTreeSet, std::time::Duration};
 
-/// Regions of the fleet; the router stands in the first.
+/// Regions of the fleet; the router under test is in the first one.
 pub const REGIONS: [&str; 3] = ["armor", "argoat", "iroise"];
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
+/// Returns the place in the zone `a` of `region`.
 pub fn place(region: &str) -> Place {
     Place {
         region: region.into(),
@@ -19,7 +20,8 @@
     }
 }
 
-/// `upstreams` of each region, named `REGION-NUMBER`, that serve the model `advice`.
+/// Returns a document with `upstreams[n]` upstreams in the region `n`, named `REGION-NUMBER`, that
+/// serve the model `advice`.
 pub fn document(upstreams: &[usize]) -> Document {
     let mut document = Document {
         version: 1,
@@ -55,10 +57,12 @@
     document
 }
 
+/// Returns the model that all upstreams of the fleet serve.
 pub fn model() -> Target {
     Target::Model("advice".into())
 }
 
+/// Returns the query for a request of 800 prompt tokens and up to 200 output tokens.
 pub fn query<'a>(target: &'a Target, residency: &'a BTreeSet<RegionId>) -> RouteQuery<'a> {
     RouteQuery {
         deadline: Duration::from_secs(60),
@@ -77,6 +81,8 @@
     names.iter().copied().map(RegionId::from).collect()
 }
 
+/// Returns the load report of an upstream with eight slots, all of which are in use if tokens are
+/// queued.
 pub fn report(queued_tokens: Tokens) -> LoadReport {
     LoadReport {
         queued_tokens,
@@ -86,12 +92,14 @@
     }
 }
 
+/// Returns a router in the first region, configured with `document`.
 pub fn router(document: &Document) -> Router {
     let mut router = Router::new(place(REGIONS[0]), 7);
     router.configure(Duration::ZERO, document);
     router
 }
 
+/// Returns an upstream that serves the model `advice`.
 pub fn upstream(region: &str, speed: u64) -> Upstream {
     Upstream {
         address: ([127, 0, 0, 1], 8_000).into(),
--- a/crates/ebonystand-core/tests/gateway/main.rs
+++ b/crates/ebonystand-core/tests/gateway/main.rs
@@ -59,7 +59,10 @@
     GatewayWorkspace {
         call_tokens: 200,
         homes: BTreeSet::new(),
-        keys: secrets.iter().map(|secret| KeyHash::of(secret)).collect(),
+        keys: secrets
+            .iter()
+            .map(|secret| KeyHash::from_secret(secret))
+            .collect(),
         name: name.into(),
         quota: Some(Quota {
             burst: 1_000,
--- a/crates/ebonystand-core/tests/pages.rs
+++ b/crates/ebonystand-core/tests/pages.rs
@@ -41,7 +41,7 @@
 fn the_configuration_page_names_each_field_of_the_document() {
     let mut document: Document = serde_json::from_str(EXAMPLE).expect("a document");
     let key = Key {
-        hash: KeyHash::of("s"),
+        hash: KeyHash::from_secret("s"),
         withdrawn: false,
         workspace: "w".into(),
     };
--- a/crates/ebonystand/src/authenticate.rs
+++ b/crates/ebonystand/src/authenticate.rs
@@ -5,7 +5,8 @@
 
 pub(crate) fn check(node: &Node, req: &Request) -> Result<Caller, Refusal> {
     let secret = bearer(req.headers()).ok_or_else(unauthorized)?;
-    node.caller(&KeyHash::of(secret)).ok_or_else(unauthorized)
+    node.caller(&KeyHash::from_secret(secret))
+        .ok_or_else(unauthorized)
 }
 
 /// The bearer token of these headers.
--- a/crates/ebonystand/src/call_service.rs
+++ b/crates/ebonystand/src/call_service.rs
@@ -137,7 +137,7 @@
     let document = node.document();
     let service = document.services.get(service).ok_or_else(unknown_path)?;
     let call = service
-        .call(method.as_str(), path)
+        .find_call(method.as_str(), path)
         .ok_or_else(unknown_path)?;
     Ok(Offer {
         once: call.once,
--- a/crates/ebonystand/src/gateway/native_dialect.rs
+++ b/crates/ebonystand/src/gateway/native_dialect.rs
@@ -52,7 +52,7 @@
             deadline,
             headers: headers::passed_on(incoming, &DROPPED),
             host: headers::text(incoming, "host").unwrap_or_default().into(),
-            key: authenticate::bearer(incoming).map(KeyHash::of),
+            key: authenticate::bearer(incoming).map(KeyHash::from_secret),
             prompt,
             request: headers::text(incoming, REQUEST).unwrap_or_default().into(),
         })
--- a/crates/ebonystand/src/node.rs
+++ b/crates/ebonystand/src/node.rs
@@ -202,7 +202,7 @@
             metrics: Metrics::new(),
             next_id: Cell::new(0),
             fresh_client: ClientPool::client(),
-            operator: KeyHash::of(credential.trim()),
+            operator: KeyHash::from_secret(credential.trim()),
             orders: OrderController::new(vm.clone(), random_u64()?),
             peers: Peers::new(secret),
             quarantine: QuarantineController::new(vm.clone(), incarnation),
--- a/crates/ebonystand/src/operator_api.rs
+++ b/crates/ebonystand/src/operator_api.rs
@@ -41,7 +41,7 @@
 
 fn authorize(node: &Node, req: &Request) -> Result<(), OperatorError> {
     let same = authenticate::bearer(req.headers())
-        .is_some_and(|token| authenticate::same(&KeyHash::of(token), &node.operator));
+        .is_some_and(|token| authenticate::same(&KeyHash::from_secret(token), &node.operator));
     if same {
         Ok(())
     } else {
--- a/crates/ebonystand/tests/integration/fleet.rs
+++ b/crates/ebonystand/tests/integration/fleet.rs
@@ -173,7 +173,7 @@
         };
         document.workspaces.insert("akademi".into(), workspace);
         let key = Key {
-            hash: KeyHash::of(KEY),
+            hash: KeyHash::from_secret(KEY),
             withdrawn: false,
             workspace: "akademi".into(),
         };
--- a/crates/ebonystand/tests/integration/routes.rs
+++ b/crates/ebonystand/tests/integration/routes.rs
@@ -110,7 +110,7 @@
     let workspace = GatewayWorkspace {
         call_tokens: 1,
         homes: BTreeSet::new(),
-        keys: vec![KeyHash::of(KEY)],
+        keys: vec![KeyHash::from_secret(KEY)],
         name: "akademi".into(),
         quota: Some(Quota {
             burst: 1_000_000,
--- a/crates/ebonystandctl/src/key.rs
+++ b/crates/ebonystandctl/src/key.rs
@@ -84,7 +84,7 @@
 ) -> Result {
     let secret: Box<str> = draw_hex::<{ KeyCommand::SECRET_BYTES }>()?.into();
     let key = Key {
-        hash: KeyHash::of(&secret),
+        hash: KeyHash::from_secret(&secret),
         withdrawn: false,
         workspace: workspace.clone(),
     };
@@ -101,7 +101,7 @@
         Err(Error::Unknown { .. }) => return error::UnknownKeySnafu { key: id.clone() }.fail(),
         Err(error) => return Err(error),
     };
-    let given = KeyGiven {
+    let given = IssuedKey {
         key: id.clone(),
         secret,
         version,
--- a/crates/ebonystandctl/tests/client.rs
+++ b/crates/ebonystandctl/tests/client.rs
@@ -164,7 +164,7 @@
     let secret = given["secret"].as_str().expect("a secret");
     let req = vm.requests.iter().nth(1).expect("the change");
     assert!(!req.contains(secret));
-    let hash = ebonystand_core::KeyHash::of(secret).to_string();
+    let hash = ebonystand_core::KeyHash::from_secret(secret).to_string();
     assert_eq!(body(&req)["change"]["give_key"]["key"]["hash"], *hash);
 }
 
