--- a/crates/ebonystand-core/src/change.rs
+++ b/crates/ebonystand-core/src/change.rs
@@ -19,7 +19,7 @@
     },
     /// Adds or replaces a region.
     PutRegion {
-        /// Name of the region.
+        /// Name of the region to add or replace.
         id: RegionId,
         /// Holders and links of the region.
         region: Region,
@@ -34,52 +34,52 @@
     },
     /// Adds or replaces a service.
     PutService {
-        /// Name of the service.
+        /// Name of the service to add or replace.
         id: ServiceId,
         /// Calls and cost of the service.
         service: Service,
     },
     /// Adds or replaces an upstream.
     PutUpstream {
-        /// Name of the upstream.
+        /// Name of the upstream to add or replace.
         id: UpstreamId,
         /// Address, place and kind of the upstream.
         upstream: Upstream,
     },
     /// Adds or replaces a workspace.
     PutWorkspace {
-        /// Name of the workspace.
+        /// Name of the workspace to add or replace.
         id: WorkspaceId,
         /// Allowance, home and residency of the workspace.
         workspace: Workspace,
     },
     /// Removes an upstream.
     RemoveUpstream {
-        /// Name of the upstream.
+        /// Name of the upstream to remove.
         id: UpstreamId,
     },
     /// Removes a workspace and its keys.
     RemoveWorkspace {
-        /// Name of the workspace.
+        /// Name of the workspace to remove, along with its keys.
         id: WorkspaceId,
     },
     /// Stops or resumes sending requests to the upstreams of an availability zone.
     SetEvacuated {
         /// Whether the upstreams of the zone get no requests.
         evacuated: bool,
-        /// Name of the zone.
+        /// Name of the zone to evacuate or to use again.
         zone: ZoneId,
     },
     /// Sets the weights and limits of a preset.
     SetPreset {
-        /// Name of the preset.
+        /// Name of the preset to set.
         name: PresetName,
-        /// New weights and limits.
+        /// Weights and limits that the preset gets.
         preset: Preset,
     },
     /// Sets whether an upstream is leaving.
     SetUpstreamLeaving {
-        /// Name of the upstream.
+        /// Name of the upstream that starts or stops leaving.
         id: UpstreamId,
         /// Whether the upstream gets no new requests.
         leaving: bool,
@@ -91,7 +91,7 @@
     },
     /// Withdraws a key permanently.
     WithdrawKey {
-        /// Name of the key.
+        /// Name of the key to withdraw.
         id: KeyId,
     },
 }
--- a/crates/ebonystand-core/src/document/document_change.rs
+++ b/crates/ebonystand-core/src/document/document_change.rs
@@ -115,8 +115,9 @@
         }
     }
 
-    /// Puts a routing in force, unless the one in force is as new. The workspaces of the routing
-    /// replace those in force, so that allowances follow; a workspace without a quota gets none.
+    /// Puts a routing in force, unless the revision in force is at least as high. The workspaces of
+    /// the routing replace those in force, so that allowances follow; a workspace without a quota
+    /// gets no allowance.
     fn replace_routing(&mut self, regions: &BTreeMap<RegionId, Region>, routing: &Routing) {
         if routing.revision <= self.routing.revision {
             return;
--- a/crates/ebonystand-core/src/document/document_part.rs
+++ b/crates/ebonystand-core/src/document/document_part.rs
@@ -5,17 +5,18 @@
 pub struct DocumentPart {
     /// Position that the entries follow.
     pub cursor: DocumentCursor,
-    /// [`Document::evacuated`] at this version.
+    /// [`Document::evacuated`] at the part's version.
     pub evacuated: BTreeSet<ZoneId>,
     /// Entries in the order of their sections and names, [`Document::PART_ENTRIES`] at most.
     pub entries: Vec<DocumentEntry>,
     /// Whether this is the last part of the document.
     pub last: bool,
-    /// [`Document::preset`] at this version.
+    /// [`Document::preset`] at the part's version.
     pub preset: PresetName,
-    /// [`Document::presets`] at this version.
+    /// [`Document::presets`] at the part's version.
     pub presets: Presets,
-    /// [`Document::routing`] at this version without its source; present in the first part only.
+    /// [`Document::routing`] at the part's version without its source; present in the first part
+    /// only.
     pub routing: Option<Box<Routing>>,
     /// Version of the document that the entries were read from.
     pub version: Version,
--- a/crates/ebonystand-core/src/document/document_section.rs
+++ b/crates/ebonystand-core/src/document/document_section.rs
@@ -3,16 +3,16 @@
 /// Map of a [`Document`], ordered as the maps are copied.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum DocumentSection {
-    /// [`Document::keys`].
+    /// Entries of [`Document::keys`].
     #[default]
     Keys,
-    /// [`Document::regions`].
+    /// Entries of [`Document::regions`].
     Regions,
-    /// [`Document::services`].
+    /// Entries of [`Document::services`].
     Services,
-    /// [`Document::upstreams`].
+    /// Entries of [`Document::upstreams`].
     Upstreams,
-    /// [`Document::workspaces`].
+    /// Entries of [`Document::workspaces`].
     Workspaces,
 }
 
--- a/crates/ebonystand-core/src/feed_input.rs
+++ b/crates/ebonystand-core/src/feed_input.rs
@@ -27,9 +27,9 @@
     },
     /// A message from another VM has arrived.
     Message {
-        /// Name of the sender.
+        /// Name of the VM that sent the message.
         from: VmId,
-        /// Content of the message.
+        /// Message that has arrived.
         message: FeedMessage,
     },
     /// The set of live VMs has changed; this VM is left out.
@@ -43,7 +43,7 @@
     Tick,
     /// An operator withdraws a key on this VM.
     Withdraw {
-        /// Name of the key.
+        /// Name of the key to withdraw.
         key: KeyId,
     },
 }
--- a/crates/ebonystand-core/src/feed_output.rs
+++ b/crates/ebonystand-core/src/feed_output.rs
@@ -32,14 +32,14 @@
     Ready,
     /// A message is to be sent to a VM.
     Send {
-        /// Content of the message.
+        /// Message to send.
         message: FeedMessage,
-        /// Name of the receiver.
+        /// Name of the VM to send the message to.
         to: VmId,
     },
     /// A key has been withdrawn; requests that run with it are to be ended.
     Withdrawn {
-        /// Name of the key.
+        /// Name of the withdrawn key.
         key: KeyId,
     },
 }
--- a/crates/ebonystand-core/src/membership/membership_output.rs
+++ b/crates/ebonystand-core/src/membership/membership_output.rs
@@ -15,7 +15,7 @@
     },
     /// A datagram is to be sent.
     Send {
-        /// Content of the datagram.
+        /// Datagram to send.
         message: Box<MembershipMessage>,
         /// Address of the receiver.
         to: SocketAddr,
--- a/crates/ebonystand-core/src/membership/membership_view.rs
+++ b/crates/ebonystand-core/src/membership/membership_view.rs
@@ -78,7 +78,7 @@
         messages.into_iter().map(send).collect()
     }
 
-    /// Asks up to three other VMs of the own region to ping `target`, which has not answered this
+    /// Asks up to three other VMs of the local region to ping `target`, which has not answered this
     /// VM.
     pub(crate) fn send_indirect_probes(
         &mut self,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Clears the suspicion against every VM of the own region.
+    /// Clears the suspicion against every VM of the local region.
     pub(crate) fn clear_suspicions(&mut self) {
         let suspects: Vec<_> = self
             .table
@@ -125,7 +125,7 @@
     }
 
     /// Builds update datagrams for up to `fan_out` random VMs, alternately of any region and of the
-    /// own region.
+    /// local region.
     pub(crate) fn gossip(
         &mut self,
         now: Duration,
@@ -164,7 +164,7 @@
     }
 
     /// Builds a datagram with as many queued updates as fit. `region` is the receiver's, if known;
-    /// only receivers in the own region get `contacts`.
+    /// only receivers in the local region get `contacts`.
     pub(crate) fn build_message(
         &mut self,
         now: Duration,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns the suspects of the own region whose [`VmMembership::SUSPICION_TIMEOUT`] is over.
+    /// Returns the suspects of the local region whose [`VmMembership::SUSPICION_TIMEOUT`] is over.
     pub(crate) fn expired_suspects(&self, now: Duration) -> Vec<VmRecordId> {
         self.table
             .present_in_region(&self.own.region)
@@ -222,9 +222,9 @@
         outputs.push(self.build_message(now, to, region, body));
     }
 
-    /// Pings suspects of the own region and tells them of the suspicion, so that they can refute it
-    /// directly to this VM. With gossip alone, the loss of one datagram in ten delayed a refutation
-    /// beyond the timeout, and a VM that answers was declared dead.
+    /// Pings suspects of the local region and tells them of the suspicion, so that they can refute
+    /// it directly to this VM. With gossip alone, the loss of one datagram in ten delayed a
+    /// refutation beyond the timeout, and a VM that answers was declared dead.
     pub(crate) fn ping_suspects(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         const MAX_SUSPECTS: usize = 16;
         let suspects: Vec<_> = self
@@ -329,8 +329,8 @@
         }
     }
 
-    /// Publishes a newer record if `update` supersedes the own one: it refutes a suspicion or a
-    /// death, and supersedes records of an earlier start of this VM. The latter matters when the
+    /// Publishes a newer record if `update` supersedes this VM's record: it refutes a suspicion or
+    /// a death, and supersedes records of an earlier start of this VM. The latter matters when the
     /// wall clock, from which the incarnation is taken, went back between the two starts.
     fn refute(&mut self, now: Duration, update: &MembershipUpdate) {
         let (epoch, alive) = match update {
--- a/crates/ebonystand-core/src/operator_error.rs
+++ b/crates/ebonystand-core/src/operator_error.rs
@@ -30,7 +30,7 @@
     /// The configuration has no key with this name.
     #[snafu(display("no key `{key}`"))]
     UnknownKey {
-        /// Name of the key.
+        /// Name of the missing key.
         key: KeyId,
     },
     /// The API has no such path, or not with this method.
--- a/crates/ebonystand-core/src/preset_name.rs
+++ b/crates/ebonystand-core/src/preset_name.rs
@@ -17,14 +17,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum PresetName {
-    /// Upstreams are under maintenance.
+    /// Preset for times when upstreams are under maintenance.
     #[display("maintenance")]
     Maintenance,
-    /// Traffic is ordinary.
+    /// Preset for ordinary traffic.
     #[default]
     #[display("ordinary")]
     Ordinary,
-    /// Traffic is at its peak.
+    /// Preset for peaks of traffic.
     #[display("peak")]
     Peak,
 }
--- a/crates/ebonystand-core/src/prober.rs
+++ b/crates/ebonystand-core/src/prober.rs
@@ -1,9 +1,6 @@
 use {super::*, rand::seq::SliceRandom, rand_pcg::Pcg64Mcg};
 
-/// Selects the VM of the own region to probe next, and tracks the one open probe.
-///
-/// VMs are probed one at a time in a shuffled order that is drawn anew after each round, so that
-/// each is probed within a bounded time.
+/// Selects the VM of the local region to probe next, and tracks the one open probe.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Prober {
     /// VMs that are still to be probed in this round.
--- a/crates/ebonystand-core/src/region_contacts.rs
+++ b/crates/ebonystand-core/src/region_contacts.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Times when VMs of the own region last got an answer from each other region.
+/// Times when VMs of the local region last got an answer from each other region.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionContacts {
     contacts: BTreeMap<RegionId, Duration>,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Records an answer from `region`, unless it is the own region or a newer answer is known.
+    /// Records an answer from `region`, unless it is the local region or a newer answer is known.
     pub(crate) fn record_answer(&mut self, at: Duration, region: &RegionId) {
         if *region == self.own {
             return;
@@ -27,7 +27,7 @@
         *known = at.max(*known);
     }
 
-    /// Returns whether `region` is the own one or has answered within
+    /// Returns whether `region` is the local region or has answered within
     /// [`VmMembership::REGION_TIMEOUT`].
     pub(crate) fn is_reachable(&self, now: Duration, region: &str) -> bool {
         let contact = self.contacts.get(region);
@@ -42,7 +42,7 @@
         now.saturating_sub(contact) >= Self::STALE_AFTER
     }
 
-    /// Returns the contacts with reachable regions, to be shared with VMs of the own region.
+    /// Returns the contacts with reachable regions, to be shared with VMs of the local region.
     pub(crate) fn recent(&self, now: Duration) -> Vec<RegionContact> {
         self.contacts
             .iter()
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// Merges the contacts that a VM of the own region shares.
+    /// Merges the contacts that a VM of the local region shares.
     pub(crate) fn merge(&mut self, now: Duration, contacts: &[RegionContact]) {
         for contact in contacts {
             let age = Duration::from_millis(contact.age_ms);
--- a/crates/ebonystand-core/src/seed_addresses.rs
+++ b/crates/ebonystand-core/src/seed_addresses.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns a random address other than the own one.
+    /// Returns a random address other than that of this VM.
     pub(crate) fn pick(&self, rng: &mut Pcg64Mcg) -> Option<SocketAddr> {
         let others: Vec<_> = self.others().collect();
         if others.is_empty() {
--- a/crates/ebonystand-core/src/vm_entry.rs
+++ b/crates/ebonystand-core/src/vm_entry.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// Newest known record of a VM, with the state that this VM believes it to be in.
+/// Newest known record of a VM, with the state that the local VM believes it to be in.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmEntry {
     /// Whether the platform's list shows this incarnation as leaving.
     pub hinted_leaving: bool,
     /// Newest known record of the VM.
     pub record: VmRecord,
-    /// Believed state of the VM.
+    /// State that the local VM believes the VM to be in.
     pub state: VmState,
 }
 
--- a/crates/ebonystand-core/src/vm_health.rs
+++ b/crates/ebonystand-core/src/vm_health.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Health of a VM as another VM sees it, including whether its region answers.
+/// Health of a VM as the local VM sees it, including whether the other VM's region answers.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmHealth {
--- a/crates/ebonystand-core/src/vm_membership.rs
+++ b/crates/ebonystand-core/src/vm_membership.rs
@@ -40,7 +40,7 @@
     pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
     /// Time between two probes that a VM sends.
     pub const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
-    /// Time without an answer to any VM of the own region after which a region is unreachable.
+    /// Time without an answer to any VM of the local region after which a region is unreachable.
     pub const REGION_TIMEOUT: Duration = Duration::from_secs(6);
     /// Time without any datagram after which a VM assumes that it is itself partitioned or was
     /// suspended.
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns whether a region has answered within [`VmMembership::REGION_TIMEOUT`]; the own
+    /// Returns whether a region has answered within [`VmMembership::REGION_TIMEOUT`]; the local
     /// region always has.
     #[must_use]
     pub fn is_reachable(&self, now: Duration, region: &str) -> bool {
@@ -314,8 +314,8 @@
         }
     }
 
-    /// Declares suspects of the own region dead once their timeout is over. An isolated VM declares
-    /// none dead, since it is itself the one that is cut off.
+    /// Declares suspects of the local region dead once their timeout is over. An isolated VM
+    /// declares none dead, since it is itself the one that is cut off.
     fn declare_expired_suspects_dead(&mut self, now: Duration) {
         if self.is_isolated(now) {
             return;
@@ -327,7 +327,7 @@
     }
 
     /// Pings one VM that no regular probe covers: a seed address at which no known VM listens, or a
-    /// dead VM of the own region, which may only have been cut off.
+    /// dead VM of the local region, which may only have been cut off.
     fn ping_absent(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         const EVERY_ROUNDS: u64 = 10;
         let is_alone = self.view.table.present_count() <= 1;
@@ -384,9 +384,9 @@
         self.view.ping(now, peer, Some(&region), outputs);
     }
 
-    /// Sends the digests of the table to a random VM, in three of four cases one of the own region.
-    /// A VM that knows no other one sends them to a seed, and tries again at each tick until it
-    /// knows one.
+    /// Sends the digests of the table to a random VM, in three of four cases one of the local
+    /// region. A VM that knows no other one sends them to a seed, and tries again at each tick
+    /// until it knows one.
     fn start_sync(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         let picked = match self.rng.random_range(0..4) {
             0 => self.view.table.pick_any(&mut self.rng),
--- a/crates/ebonystand-core/src/vm_state.rs
+++ b/crates/ebonystand-core/src/vm_state.rs
@@ -10,13 +10,13 @@
     /// The VM has answered no VM of its region and has not refuted the suspicion in time.
     #[display("dead")]
     Dead {
-        /// Time when this VM learned of it.
+        /// Time at which the VM that holds this state learned of it.
         since: Duration,
     },
     /// The VM missed a probe, and may still refute the suspicion.
     #[display("suspect")]
     Suspect {
-        /// Time when this VM learned of it.
+        /// Time at which the VM that holds this state learned of it.
         since: Duration,
     },
 }
--- a/crates/ebonystand-core/tests/catalog.rs
+++ b/crates/ebonystand-core/tests/catalog.rs
@@ -143,7 +143,7 @@
 fn a_faulty_change_changes_nothing(#[case] change: Change, #[case] path: &str) {
     let mut catalog = catalog_with_document();
     let ChangeOutcome::Refused { faults } = send_change(&mut catalog, change) else {
-        panic!("it is accepted");
+        panic!("the faulty change was accepted");
     };
     assert!(
         faults
--- a/crates/ebonystand-core/tests/common/feeds.rs
+++ b/crates/ebonystand-core/tests/common/feeds.rs
@@ -260,19 +260,19 @@
             FeedOutput::Apply { change } => {
                 assert!(
                     self.vms[vm].catalog.apply_accepted(&change),
-                    "out of sequence"
+                    "change out of sequence"
                 );
             }
             FeedOutput::Install { document } => {
                 assert!(
                     self.vms[vm].catalog.install_document(*document),
-                    "not newer"
+                    "installed document is not newer"
                 );
             }
             FeedOutput::Propose { req } => self.change(req.change),
             FeedOutput::PullEnded { .. } | FeedOutput::Ready | FeedOutput::Withdrawn { .. } => {}
             FeedOutput::Send { message, to } => {
-                let to: usize = to[3..].parse().expect("a VM's number");
+                let to: usize = to[3..].parse().expect("the name ends in the VM's number");
                 self.send(vm, to, &message);
             }
         }
@@ -293,7 +293,7 @@
     /// Puts a message on the network, which may lose or duplicate it.
     fn send(&mut self, from: usize, to: usize, message: &FeedMessage) {
         self.messages[from] += 1;
-        let message_bytes = postcard::to_stdvec(message).expect("it encodes");
+        let message_bytes = postcard::to_stdvec(message).expect("the message can be encoded");
         let bytes = lz4_flex::compress(&message_bytes).len() as u64;
         self.bytes += bytes;
         if self.is_cut(from, to) {
--- a/crates/ebonystand-core/tests/common/simulation.rs
+++ b/crates/ebonystand-core/tests/common/simulation.rs
@@ -47,8 +47,8 @@
 pub enum Load {
     /// The upstreams of the first region return at 40 s with cold caches.
     ColdReturn,
-    /// The first region loses half its upstreams at 40 s, and the document marks them as leaving 10
-    /// s later.
+    /// Half the upstreams of the first region fail at 40 s, and the document marks them as leaving
+    /// 10 s later.
     HalfLost,
     /// Each region gets 60 % of the requests that its upstreams can serve.
     Ordinary,
@@ -343,7 +343,7 @@
         for at in first.iter().filter(|_| leaves.is_some()) {
             self.engines[*at].cold_until = now + 10_000;
             let upstream = self.document.upstreams.get_mut(&self.ids[*at]);
-            upstream.expect("it exists").leaving = leaves == Some(true);
+            upstream.expect("upstream is in the document").leaving = leaves == Some(true);
         }
         self.document.version += 1;
         for router in &mut self.routers {
--- a/crates/ebonystand-core/tests/common/vms.rs
+++ b/crates/ebonystand-core/tests/common/vms.rs
@@ -123,7 +123,7 @@
             let MembershipOutput::Send { message, to } = output else {
                 continue;
             };
-            let bytes = postcard::to_stdvec(&message).expect("it encodes");
+            let bytes = postcard::to_stdvec(&message).expect("the message can be encoded");
             assert!(bytes.len() <= 1_200, "{} bytes", bytes.len());
             let std::net::IpAddr::V4(ip) = to.ip() else {
                 continue;
@@ -184,7 +184,7 @@
             return;
         }
         self.received += bytes.len() as u64;
-        let message = postcard::from_bytes(bytes).expect("it decodes");
+        let message = postcard::from_bytes(bytes).expect("the message can be decoded");
         let outputs = self.vms[to].receive(self.now, message);
         self.send(to, outputs);
     }
--- a/crates/ebonystand-core/tests/feed.rs
+++ b/crates/ebonystand-core/tests/feed.rs
@@ -226,7 +226,10 @@
     let version = feeds.version(0);
     while (0..count).any(|vm| feeds.version(vm) != version) {
         feeds.run(feeds::STEP);
-        assert!(feeds.now - start < 60 * SECOND, "not all have it");
+        assert!(
+            feeds.now - start < 60 * SECOND,
+            "some VMs lack the change after a minute"
+        );
     }
     let took = feeds.now - start;
     let most = feeds.messages.iter().max();
@@ -270,7 +273,9 @@
         name: "stock".into(),
     }];
     let routes: Vec<_> = (0..routes).map(route).collect();
-    let source = serde_json::to_string(&routes).expect("it encodes").into();
+    let source = serde_json::to_string(&routes)
+        .expect("the routes can be encoded")
+        .into();
     Routing {
         revision,
         routes,
@@ -309,7 +314,11 @@
         feeds.run(APPLIED - Duration::from_millis(1_400));
         let newest = feeds.version(0);
         let late = (0..count).filter(|vm| feeds.version(*vm) < newest);
-        assert_eq!(late.count(), 0, "seed {seed}: VMs of {count} that lag");
+        assert_eq!(
+            late.count(),
+            0,
+            "seed {seed}: VMs of {count} that lack the newest version"
+        );
     }
 }
 
--- a/crates/ebonystand-core/tests/vm_membership.rs
+++ b/crates/ebonystand-core/tests/vm_membership.rs
@@ -17,7 +17,10 @@
     let mut vms = VmFleet::new(count, regions);
     let all = |vms: &VmFleet| (0..count).all(|vm| vms.live(vm) == count);
     let took = vms.run_until(60 * SECOND, all);
-    assert!(took.is_some(), "not all know all after a minute");
+    assert!(
+        took.is_some(),
+        "not every VM sees all VMs as live after a minute"
+    );
     vms
 }
 
@@ -39,12 +42,12 @@
     let left = vms.run_until(30 * SECOND, |vms| {
         vms.count(1, |_, entry| entry.is_leaving()) == count - 1
     });
-    let left = left.expect("all learn that it leaves");
+    let left = left.expect("every VM learns that VM 1 leaves");
 
     vms.stopped.insert(2);
     vms.reset();
     let dropped = vms.run_until(30 * SECOND, |vms| vms.count(2, is_alive) == 0);
-    let dropped = dropped.expect("all learn that it does not answer");
+    let dropped = dropped.expect("every VM learns that VM 2 does not answer");
     let busy = vms.bytes_each(dropped);
     println!("{count} VMs: {quiet} and {busy} B/s, known after {left:?} and {dropped:?}");
     assert!(quiet.max(busy) <= 10_000);
@@ -156,7 +159,7 @@
         };
         vms.vms[0].receive(vms.now, message);
     }
-    let entry = vms.vms[0].get(&name(5)).expect("it is known");
+    let entry = vms.vms[0].get(&name(5)).expect("VM 5 is known");
     assert_eq!(u64::from(entry.record.leaving), taken);
 }
 
