--- a/crates/ebonystand-core/benches/routing.rs
+++ b/crates/ebonystand-core/benches/routing.rs
@@ -22,7 +22,7 @@
 fn loaded(document: &Document) -> Router {
     let mut router = router(document);
     for id in document.upstreams.keys() {
-        router.report(Duration::ZERO, id, report(300));
+        router.record_load_report(Duration::ZERO, id, report(300));
     }
     router
 }
--- /dev/null
+++ b/crates/ebonystand-core/src/circuit_breaker.rs
@@ -0,0 +1,55 @@
+use super::*;
+
+/// Circuit breaker of one upstream: after a few failures in a row it gets no requests for a
+/// while, then one at a time until one succeeds.
+///
+/// Without it a VM goes on sending to a dead upstream whose last report said that it is idle,
+/// and each such request waits for its first-byte limit.
+#[derive(Clone, Debug, Default, Eq, PartialEq)]
+pub(crate) struct CircuitBreaker {
+    failures: u32,
+    open_until: Duration,
+    is_probing: bool,
+}
+
+impl CircuitBreaker {
+    /// Longest time without any request.
+    const MAX_OPEN_TIME: Duration = Duration::from_secs(30);
+    /// First time without any request; doubles with each failure after it.
+    const MIN_OPEN_TIME: Duration = Duration::from_secs(1);
+    /// Failures in a row that open the circuit.
+    const FAILURE_THRESHOLD: u32 = 3;
+
+    pub(crate) fn allows_dispatch(&self, now: Duration) -> bool {
+        self.failures < Self::FAILURE_THRESHOLD || (now >= self.open_until && !self.is_probing)
+    }
+
+    /// Notes the end of a dispatch; true if the circuit has changed between open and closed.
+    pub(crate) fn record_end(&mut self, now: Duration, end: DispatchEnd) -> bool {
+        self.is_probing = false;
+        match end {
+            DispatchEnd::Answered { .. } => {
+                std::mem::take(&mut self.failures) >= Self::FAILURE_THRESHOLD
+            }
+            DispatchEnd::Cancelled => false,
+            DispatchEnd::Failed | DispatchEnd::TimedOut => {
+                self.failures = self.failures.saturating_add(1);
+                let Some(excess_failures) = self.failures.checked_sub(Self::FAILURE_THRESHOLD)
+                else {
+                    return false;
+                };
+                let wait = Self::MIN_OPEN_TIME * (1 << excess_failures.min(5));
+                self.open_until = now + wait.min(Self::MAX_OPEN_TIME);
+                excess_failures == 0
+            }
+        }
+    }
+
+    pub(crate) fn time_until_probe(&self, now: Duration) -> Duration {
+        self.open_until.saturating_sub(now)
+    }
+
+    pub(crate) fn record_dispatch(&mut self) {
+        self.is_probing = self.failures >= Self::FAILURE_THRESHOLD;
+    }
+}
--- a/crates/ebonystand-core/src/deadline.rs
+++ b/crates/ebonystand-core/src/deadline.rs
@@ -10,10 +10,10 @@
     /// Deadline of a request that came at `now` with the caller's limit; without one, or with a
     /// later one, the preset's counts.
     #[must_use]
-    pub fn new(now: Duration, asked: Option<Duration>, preset: &Preset) -> Self {
-        let longest = Duration::from_millis(preset.deadline_ms);
+    pub fn new(now: Duration, requested: Option<Duration>, preset: &Preset) -> Self {
+        let preset_limit = Duration::from_millis(preset.deadline_ms);
         Self {
-            at: now + asked.unwrap_or(longest).min(longest),
+            at: now + requested.unwrap_or(preset_limit).min(preset_limit),
         }
     }
 
--- a/crates/ebonystand-core/src/encoded_weight.rs
+++ b/crates/ebonystand-core/src/encoded_weight.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Bytes of an address: variant, IP number, port.
-pub(crate) fn address_weight(address: SocketAddr) -> usize {
+pub(crate) fn address_encoded_len(address: SocketAddr) -> usize {
     const PORT: usize = 3;
     const VARIANT: usize = 1;
     match address {
@@ -14,12 +14,12 @@
 }
 
 /// Bytes of a text with its length.
-pub(crate) fn text_weight(text: &str) -> usize {
-    varint_weight(text.len() as u64) + text.len()
+pub(crate) fn text_encoded_len(text: &str) -> usize {
+    varint_encoded_len(text.len() as u64) + text.len()
 }
 
 /// Bytes of a number with seven bits a byte.
-pub(crate) fn varint_weight(number: u64) -> usize {
+pub(crate) fn varint_encoded_len(number: u64) -> usize {
     const BITS_PER_BYTE: u32 = 7;
     let bits = (u64::BITS - number.leading_zeros()).max(1);
     bits.div_ceil(BITS_PER_BYTE) as usize
--- a/crates/ebonystand-core/src/engine_view.rs
+++ b/crates/ebonystand-core/src/engine_report.rs
@@ -2,7 +2,7 @@
 
 /// What an engine last reported.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct EngineView {
+pub struct EngineReport {
     /// It gets no new work.
     pub leaving: bool,
     /// Models that it has loaded, each with the requests that it runs for it.
@@ -10,5 +10,5 @@
     /// When it reported.
     pub reported_at: Duration,
     /// Room for weights, taken or not, in bytes.
-    pub room: u64,
+    pub weight_capacity: u64,
 }
--- a/crates/ebonystand-core/src/entry_list.rs
+++ b/crates/ebonystand-core/src/entry_list.rs
@@ -29,7 +29,7 @@
         key: &str,
     ) -> Self {
         let order = rng.random_range(0..Self::SPREAD);
-        let rendezvous = Rendezvous::new(xxh3_64(key.as_bytes()).wrapping_add(order));
+        let rendezvous = RendezvousHash::new(xxh3_64(key.as_bytes()).wrapping_add(order));
         let mut entries = vms
             .iter()
             .filter(|vm| !vm.leaving && residency.contains(&vm.place.region))
--- a/crates/ebonystand-core/src/fair_queue.rs
+++ b/crates/ebonystand-core/src/fair_queue.rs
@@ -12,7 +12,7 @@
 /// other request would wait until one of the burst's ends.
 #[derive(Clone, Debug)]
 pub struct FairQueue {
-    backlogs: BTreeMap<WorkspaceId, Backlog>,
+    backlogs: BTreeMap<WorkspaceId, WorkspaceBacklog>,
     capacity: Tokens,
     queued: Tokens,
     running: u32,
@@ -22,7 +22,7 @@
 
 impl FairQueue {
     /// Tokens of lead over the others that lower the engine priority by one.
-    pub const QUANTUM: Tokens = 2_000;
+    pub const PRIORITY_QUANTUM: Tokens = 2_000;
 
     /// Slots in thousandths that a burst leaves free.
     const RESERVE_PERMILLE: u32 = 320;
@@ -54,7 +54,7 @@
     }
 
     /// Takes out the requests whose deadline has passed.
-    pub fn expire(&mut self, now: Duration) -> Vec<QueueEntry> {
+    pub fn remove_expired(&mut self, now: Duration) -> Vec<QueueEntry> {
         let mut expired = Vec::new();
         for backlog in self.backlogs.values_mut() {
             backlog.entries.retain(|waiting| {
@@ -71,7 +71,7 @@
     }
 
     /// A dispatch of the workspace has ended.
-    pub fn finished(&mut self, workspace: &str) {
+    pub fn record_dispatch_end(&mut self, workspace: &str) {
         self.running = self.running.saturating_sub(1);
         if let Some(backlog) = self.backlogs.get_mut(workspace) {
             backlog.running = backlog.running.saturating_sub(1);
@@ -84,21 +84,21 @@
         if self.running >= self.slots {
             return None;
         }
-        let is_reserve = self.is_reserve();
+        let is_only_reserve_left = self.is_only_reserve_left();
         let half_share = self.half_share();
         let backlog = self
             .backlogs
             .values_mut()
             .filter(|backlog| !backlog.entries.is_empty())
-            .filter(|backlog| backlog.may_start(is_reserve, half_share))
+            .filter(|backlog| backlog.can_start(is_only_reserve_left, half_share))
             .min_by_key(|backlog| backlog.entries.front().map(|waiting| waiting.start))?;
-        let Waiting { entry, start } = backlog.entries.pop_front()?;
+        let WaitingEntry { entry, start } = backlog.entries.pop_front()?;
         backlog.queued -= entry.work;
         self.queued -= entry.work;
         backlog.running += 1;
         self.running += 1;
         self.virtual_time = self.virtual_time.max(start);
-        self.forget_idle();
+        self.remove_idle_backlogs();
         Some(entry)
     }
 
@@ -109,7 +109,7 @@
             .backlogs
             .get(workspace)
             .map_or(0, |backlog| backlog.finish);
-        Priority::of_lead(finish.saturating_sub(self.virtual_time) / Self::QUANTUM)
+        Priority::from_lead(finish.saturating_sub(self.virtual_time) / Self::PRIORITY_QUANTUM)
     }
 
     /// Adds a request. When the queue is full, the workspace with the longest backlog loses its
@@ -117,10 +117,10 @@
     pub fn push(&mut self, entry: QueueEntry) -> QueueOutcome {
         let work = entry.work;
         if self.running < self.slots && self.queued == 0 {
-            let start = self.tag(&entry.workspace, work);
+            let start = self.assign_start_tag(&entry.workspace, work);
             self.virtual_time = self.virtual_time.max(start);
-            self.run(&entry.workspace);
-            return QueueOutcome::Runs;
+            self.start_dispatch(&entry.workspace);
+            return QueueOutcome::Started;
         }
         if self.queued + work <= self.capacity {
             self.enqueue(entry);
@@ -128,18 +128,18 @@
         }
         let own = self.backlogs.get(&entry.workspace);
         let own = own.map_or(0, |backlog| backlog.queued) + work;
-        let Some(shed) = self.shed_beyond(own) else {
+        let Some(shed) = self.shed_longest_backlog(own) else {
             return QueueOutcome::Shed {
                 refusal: Self::refusal(),
             };
         };
         self.enqueue(entry);
-        QueueOutcome::QueuedFor { shed }
+        QueueOutcome::QueuedAfterShedding { shed }
     }
 
     /// Tokens of work that wait.
     #[must_use]
-    pub fn queued(&self) -> Tokens {
+    pub fn queued_work(&self) -> Tokens {
         self.queued
     }
 
@@ -156,15 +156,15 @@
     }
 
     fn enqueue(&mut self, entry: QueueEntry) {
-        let start = self.tag(&entry.workspace, entry.work);
+        let start = self.assign_start_tag(&entry.workspace, entry.work);
         self.queued += entry.work;
         let backlog = self.backlogs.entry(entry.workspace.clone()).or_default();
         backlog.queued += entry.work;
-        backlog.entries.push_back(Waiting { entry, start });
+        backlog.entries.push_back(WaitingEntry { entry, start });
     }
 
     /// Drops workspaces that have nothing queued or running and owe nothing.
-    fn forget_idle(&mut self) {
+    fn remove_idle_backlogs(&mut self) {
         let virtual_time = self.virtual_time;
         self.backlogs.retain(|_, backlog| {
             !backlog.entries.is_empty() || backlog.running > 0 || backlog.finish > virtual_time
@@ -172,7 +172,7 @@
     }
 
     /// Whether only the reserve is left.
-    fn is_reserve(&self) -> bool {
+    fn is_only_reserve_left(&self) -> bool {
         let reserve = self.slots * Self::RESERVE_PERMILLE / 1_000;
         self.slots.saturating_sub(self.running) <= reserve
     }
@@ -183,22 +183,22 @@
         (self.slots / active / 2).max(1)
     }
 
-    fn run(&mut self, workspace: &str) {
+    fn start_dispatch(&mut self, workspace: &str) {
         self.running += 1;
         if let Some(backlog) = self.backlogs.get_mut(workspace) {
             backlog.running += 1;
         }
-        self.forget_idle();
+        self.remove_idle_backlogs();
     }
 
     /// Takes the last entry of the longest backlog, if that is longer than `own`.
-    fn shed_beyond(&mut self, own: Tokens) -> Option<QueueEntry> {
+    fn shed_longest_backlog(&mut self, own: Tokens) -> Option<QueueEntry> {
         let longest = self
             .backlogs
             .values_mut()
             .max_by_key(|backlog| backlog.queued)
             .filter(|backlog| backlog.queued > own)?;
-        let Waiting { entry, start } = longest.entries.pop_back()?;
+        let WaitingEntry { entry, start } = longest.entries.pop_back()?;
         longest.finish = start;
         longest.queued -= entry.work;
         self.queued -= entry.work;
@@ -206,9 +206,10 @@
     }
 
     /// Start tag of the workspace's next request.
-    fn tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
+    fn assign_start_tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
         if !self.backlogs.contains_key(workspace) {
-            self.backlogs.insert(workspace.into(), Backlog::default());
+            self.backlogs
+                .insert(workspace.into(), WorkspaceBacklog::default());
         }
         let Some(backlog) = self.backlogs.get_mut(workspace) else {
             return self.virtual_time;
--- a/crates/ebonystand-core/src/fence/fence_permit.rs
+++ b/crates/ebonystand-core/src/fence/fence_permit.rs
@@ -5,7 +5,7 @@
 #[must_use]
 pub struct FencePermit {
     pub(crate) fence: Fence,
-    pub(crate) until: Duration,
+    pub(crate) valid_until: Duration,
 }
 
 impl FencePermit {
@@ -13,10 +13,10 @@
     ///
     /// # Errors
     ///
-    /// [`OrdererFault::Expired`] if the process was frozen for longer than its lease.
-    pub fn redeem(self, now: Duration) -> Result<Fence, OrdererFault> {
-        if now >= self.until {
-            return Err(OrdererFault::Expired);
+    /// [`FencedRoleError::LeaseExpired`] if the process was frozen for longer than its lease.
+    pub fn redeem(self, now: Duration) -> Result<Fence, FencedRoleError> {
+        if now >= self.valid_until {
+            return Err(FencedRoleError::LeaseExpired);
         }
         Ok(self.fence)
     }
--- a/crates/ebonystand-core/src/orderer.rs
+++ b/crates/ebonystand-core/src/fenced_role.rs
@@ -6,28 +6,33 @@
 /// that does not, a successor waits until its predecessor's lease has run out and the
 /// predecessor's last order has taken effect, then reads the upstream's state, then orders.
 #[derive(Debug)]
-pub struct Orderer {
+pub struct FencedRole {
     holder: FenceHolder,
-    phase: OrdererPhase,
-    read: BTreeSet<UpstreamId>,
+    phase: FencedRolePhase,
+    read_upstreams: BTreeSet<UpstreamId>,
     resend_at: Duration,
     role: RoleId,
-    seen: (Fence, u64),
-    times: OrdererTimes,
+    last_seen: (Fence, u64),
+    timings: FencedRoleTimings,
 }
 
-impl Orderer {
+impl FencedRole {
     /// A VM that does not hold the role.
     #[must_use]
-    pub fn new(now: Duration, role: RoleId, holder: FenceHolder, times: OrdererTimes) -> Self {
+    pub fn new(
+        now: Duration,
+        role: RoleId,
+        holder: FenceHolder,
+        timings: FencedRoleTimings,
+    ) -> Self {
         Self {
             holder,
-            phase: OrdererPhase::Standby { since: now },
-            read: BTreeSet::new(),
+            phase: FencedRolePhase::Standby { since: now },
+            read_upstreams: BTreeSet::new(),
             resend_at: now,
             role,
-            seen: (0, 0),
-            times,
+            last_seen: (0, 0),
+            timings,
         }
     }
 
@@ -35,24 +40,24 @@
     #[must_use]
     pub fn fence(&self) -> Option<Fence> {
         match self.phase {
-            OrdererPhase::Holding { fence, .. } => Some(fence),
-            OrdererPhase::Claiming { .. } | OrdererPhase::Standby { .. } => None,
+            FencedRolePhase::Holding { fence, .. } => Some(fence),
+            FencedRolePhase::Claiming { .. } | FencedRolePhase::Standby { .. } => None,
         }
     }
 
     /// Takes the registry as this VM has applied it; call it when the registry has changed.
-    pub fn observe(&mut self, now: Duration, registry: &FenceRegistry) {
+    pub fn observe_registry(&mut self, now: Duration, registry: &FenceRegistry) {
         let seen = registry
             .get(&self.role)
             .map_or((0, 0), |grant| (grant.fence, grant.renewal));
-        if seen == self.seen {
+        if seen == self.last_seen {
             return;
         }
-        self.seen = seen;
+        self.last_seen = seen;
         let superseded = match self.phase {
-            OrdererPhase::Claiming { after } => seen.0 > after + 1,
-            OrdererPhase::Holding { fence, .. } => seen.0 > fence,
-            OrdererPhase::Standby { .. } => true,
+            FencedRolePhase::Claiming { after } => seen.0 > after + 1,
+            FencedRolePhase::Holding { fence, .. } => seen.0 > fence,
+            FencedRolePhase::Standby { .. } => true,
         };
         if superseded {
             self.stand_by(now);
@@ -60,20 +65,21 @@
     }
 
     /// Takes what became of a command that this VM proposed.
-    pub fn outcome(&mut self, now: Duration, outcome: &FenceOutcome) {
+    pub fn handle_outcome(&mut self, now: Duration, outcome: &FenceOutcome) {
         match (&self.phase, *outcome) {
-            (OrdererPhase::Claiming { after }, FenceOutcome::Held { fence, .. })
+            (FencedRolePhase::Claiming { after }, FenceOutcome::Held { fence, .. })
                 if fence == after + 1 =>
             {
-                self.hold(now, fence);
+                self.start_holding(now, fence);
             }
-            (OrdererPhase::Claiming { .. }, FenceOutcome::Lost { .. }) => self.stand_by(now),
-            (OrdererPhase::Holding { fence: mine, .. }, FenceOutcome::Held { fence, renewal })
-                if fence == *mine =>
-            {
-                self.renewed(renewal);
+            (FencedRolePhase::Claiming { .. }, FenceOutcome::Lost { .. }) => self.stand_by(now),
+            (
+                FencedRolePhase::Holding { fence: mine, .. },
+                FenceOutcome::Held { fence, renewal },
+            ) if fence == *mine => {
+                self.handle_renewal(renewal);
             }
-            (OrdererPhase::Holding { fence: mine, .. }, FenceOutcome::Lost { fence })
+            (FencedRolePhase::Holding { fence: mine, .. }, FenceOutcome::Lost { fence })
                 if fence > *mine =>
             {
                 self.stand_by(now);
@@ -86,45 +92,45 @@
     ///
     /// # Errors
     ///
-    /// [`OrdererFault`] if this VM may not order now.
-    pub fn pass(
+    /// [`FencedRoleError`] if this VM may not order now.
+    pub fn authorize_order(
         &self,
         now: Duration,
         id: &UpstreamId,
         upstream: &Upstream,
-    ) -> Result<FencePermit, OrdererFault> {
-        let OrdererPhase::Holding {
+    ) -> Result<FencePermit, FencedRoleError> {
+        let FencedRolePhase::Holding {
             fence,
             lease_end,
-            open_at,
+            orders_open_at,
             ..
         } = self.phase
         else {
-            return Err(OrdererFault::NotHolder);
+            return Err(FencedRoleError::NotHolder);
         };
         if now >= lease_end {
-            return Err(OrdererFault::Expired);
+            return Err(FencedRoleError::LeaseExpired);
         }
-        if !upstream.enforces_fencing && now < open_at {
-            return Err(OrdererFault::Waiting);
+        if !upstream.enforces_fencing && now < orders_open_at {
+            return Err(FencedRoleError::PredecessorActive);
         }
-        if !upstream.enforces_fencing && !self.read.contains(id) {
-            return Err(OrdererFault::Unread);
+        if !upstream.enforces_fencing && !self.read_upstreams.contains(id) {
+            return Err(FencedRoleError::StateUnread);
         }
         Ok(FencePermit {
             fence,
-            until: lease_end,
+            valid_until: lease_end,
         })
     }
 
-    /// Does what is due: the command to propose, if any. Call it at [`wake`](Self::wake).
+    /// Does what is due: the command to propose, if any. Call it at [`next_poll_at`](Self::next_poll_at).
     pub fn poll(&mut self, now: Duration) -> Option<FenceCommand> {
-        if now < self.wake() {
+        if now < self.next_poll_at() {
             return None;
         }
-        self.resend_at = now + self.times.renew;
+        self.resend_at = now + self.timings.renew;
         match &mut self.phase {
-            OrdererPhase::Holding {
+            FencedRolePhase::Holding {
                 fence,
                 renewal,
                 renewal_sent,
@@ -142,35 +148,38 @@
                     role: self.role.clone(),
                 })
             }
-            OrdererPhase::Claiming { after } => {
+            FencedRolePhase::Claiming { after } => {
                 let after = *after;
-                Some(self.claim(after))
+                Some(self.propose_claim(after))
             }
-            OrdererPhase::Standby { .. } => Some(self.claim(self.seen.0)),
+            FencedRolePhase::Standby { .. } => Some(self.propose_claim(self.last_seen.0)),
         }
     }
 
     /// An upstream's state was read, by a request that was sent at `asked`.
     ///
     /// A read from before the predecessor's last order took effect shows a state that is gone.
-    pub fn state_read(&mut self, asked: Duration, upstream: UpstreamId) {
-        if matches!(self.phase, OrdererPhase::Holding { open_at, .. } if asked >= open_at) {
-            self.read.insert(upstream);
+    pub fn record_state_read(&mut self, asked: Duration, upstream: UpstreamId) {
+        if matches!(self.phase, FencedRolePhase::Holding { orders_open_at, .. } if asked >= orders_open_at)
+        {
+            self.read_upstreams.insert(upstream);
         }
     }
 
     /// Moment of the next [`poll`](Self::poll).
     #[must_use]
-    pub fn wake(&self) -> Duration {
+    pub fn next_poll_at(&self) -> Duration {
         match self.phase {
-            OrdererPhase::Claiming { .. } | OrdererPhase::Holding { .. } => self.resend_at,
-            OrdererPhase::Standby { .. } if self.seen.0 == 0 => self.resend_at,
-            OrdererPhase::Standby { since } => self.resend_at.max(since + self.times.lease * 2),
+            FencedRolePhase::Claiming { .. } | FencedRolePhase::Holding { .. } => self.resend_at,
+            FencedRolePhase::Standby { .. } if self.last_seen.0 == 0 => self.resend_at,
+            FencedRolePhase::Standby { since } => {
+                self.resend_at.max(since + self.timings.lease * 2)
+            }
         }
     }
 
-    fn claim(&mut self, after: Fence) -> FenceCommand {
-        self.phase = OrdererPhase::Claiming { after };
+    fn propose_claim(&mut self, after: Fence) -> FenceCommand {
+        self.phase = FencedRolePhase::Claiming { after };
         FenceCommand::Claim {
             after,
             holder: self.holder.clone(),
@@ -182,18 +191,18 @@
     ///
     /// Every renewal of the predecessor that counts lies before the claim in the log, so it was
     /// sent before now, and the predecessor's lease ends within one lease from now.
-    fn hold(&mut self, now: Duration, fence: Fence) {
+    fn start_holding(&mut self, now: Duration, fence: Fence) {
         let wait = if fence == 1 {
             Duration::ZERO
         } else {
-            self.times.succession()
+            self.timings.succession_wait()
         };
-        self.read.clear();
+        self.read_upstreams.clear();
         self.resend_at = now;
-        self.phase = OrdererPhase::Holding {
+        self.phase = FencedRolePhase::Holding {
             fence,
             lease_end: now,
-            open_at: now + wait,
+            orders_open_at: now + wait,
             renewal: 0,
             renewal_sent: None,
         };
@@ -203,8 +212,8 @@
     ///
     /// The lease is counted from when that one was sent first: the log may have passed the role on
     /// right after it took the renewal, long before this answer came.
-    fn renewed(&mut self, answered: u64) {
-        let OrdererPhase::Holding {
+    fn handle_renewal(&mut self, answered: u64) {
+        let FencedRolePhase::Holding {
             lease_end,
             renewal,
             renewal_sent,
@@ -217,13 +226,13 @@
             return;
         }
         if let Some(sent) = renewal_sent.take() {
-            *lease_end = sent + self.times.lease;
+            *lease_end = sent + self.timings.lease;
         }
     }
 
     fn stand_by(&mut self, now: Duration) {
-        self.phase = OrdererPhase::Standby { since: now };
-        self.read.clear();
-        self.resend_at = now + self.times.renew;
+        self.phase = FencedRolePhase::Standby { since: now };
+        self.read_upstreams.clear();
+        self.resend_at = now + self.timings.renew;
     }
 }
--- a/crates/ebonystand-core/src/orderer_phase.rs
+++ b/crates/ebonystand-core/src/fenced_role_phase.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// What an [`Orderer`] is.
+/// What an [`FencedRole`] is.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum OrdererPhase {
+pub(crate) enum FencedRolePhase {
     /// It has asked for the role.
     Claiming {
         /// Whom it means to succeed.
@@ -15,7 +15,7 @@
         /// End of its lease.
         lease_end: Duration,
         /// When the predecessor's last order has taken effect.
-        open_at: Duration,
+        orders_open_at: Duration,
         /// Number of the last renewal that was sent.
         renewal: u64,
         /// When it was sent first, while it has no answer.
--- a/crates/ebonystand-core/src/orderer_times.rs
+++ b/crates/ebonystand-core/src/fenced_role_timings.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Times of the lease of an [`Orderer`]; equal on all VMs.
+/// Times of the lease of an [`FencedRole`]; equal on all VMs.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct OrdererTimes {
+pub struct FencedRoleTimings {
     /// Bound on how far two VMs' clocks drift from true time, in thousandths; below 1,000.
     pub drift_permille: u32,
     /// Time for which a holder orders after it sent the renewal that was last acknowledged.
@@ -13,7 +13,7 @@
     pub renew: Duration,
 }
 
-impl Default for OrdererTimes {
+impl Default for FencedRoleTimings {
     fn default() -> Self {
         Self {
             drift_permille: 10,
@@ -24,11 +24,11 @@
     }
 }
 
-impl OrdererTimes {
+impl FencedRoleTimings {
     /// Wait of a successor, by its own clock, after which no order of its predecessor can still
     /// take effect: the lease and the longest order by a slow clock, measured with a fast one.
     #[must_use]
-    pub fn succession(&self) -> Duration {
+    pub fn succession_wait(&self) -> Duration {
         let drift = self.drift_permille.min(999);
         (self.lease + self.order) * (1_000 + drift) / (1_000 - drift)
     }
--- a/crates/ebonystand-core/src/gateway/entry_choice.rs
+++ b/crates/ebonystand-core/src/gateway/entry_choice.rs
@@ -54,7 +54,7 @@
         if vms.iter().filter(|vm| in_zone(vm)).count() >= Self::ENOUGH {
             vms.retain(|vm| in_zone(vm));
         }
-        let rendezvous = Rendezvous::new(self.draw);
+        let rendezvous = RendezvousHash::new(self.draw);
         vms.sort_by_cached_key(|vm| rendezvous.weight(&vm.vm));
         vms.truncate(Self::LONGEST);
     }
--- a/crates/ebonystand-core/src/gateway/region_vms.rs
+++ b/crates/ebonystand-core/src/gateway/region_vms.rs
@@ -31,7 +31,7 @@
     /// VMs that send to this upstream while it is cold; `None` if this one is not among them. VMs
     /// with equal views agree without a message, and different upstreams have different senders.
     pub(crate) fn cold_senders(&self, upstream: &str) -> Option<u32> {
-        let weight = |vm: &VmId| Rendezvous::new(xxh3_64(upstream.as_bytes())).weight(vm);
+        let weight = |vm: &VmId| RendezvousHash::new(xxh3_64(upstream.as_bytes())).weight(vm);
         let own = weight(&self.own);
         let ahead = self.all.iter().filter(|vm| weight(vm) > own).count();
         let senders = self.all.len().min(Self::COLD_SENDERS);
--- a/crates/ebonystand-core/src/gateway/upstream_choice.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_choice.rs
@@ -319,7 +319,7 @@
     ) -> Placed<'a> {
         let shared = prompt.shared().filter(|_| self.uses(Mechanism::Owner));
         let owner = shared.and_then(|shared| {
-            let rendezvous = Rendezvous::new(shared);
+            let rendezvous = RendezvousHash::new(shared);
             let owner = candidates
                 .iter()
                 .max_by_key(|known| rendezvous.weight(&known.listed.instance));
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -6,41 +6,39 @@
 //! inputs; it returns typed outputs. The daemon turns sockets, timers and files into inputs.
 
 use {
-    backlog::{Backlog, Waiting},
     borrowed_lease::BorrowedLease,
     borrower::Borrower,
     bytes::Bytes,
     change_log::ChangeLog,
-    circuit::Circuit,
+    circuit_breaker::CircuitBreaker,
     demand_meter::DemandMeter,
     derive_more::{Display, From},
     encoded_weight::*,
     event_scanner::EventScanner,
     feed_peers::FeedPeers,
-    fleet::Fleet,
+    fenced_role_phase::FencedRolePhase,
     fleet_share::FleetShare,
     handover::Handover,
     held_message::HeldMessage,
     lent_lease::LentLease,
     link_budgets::LinkBudgets,
-    model_count::ModelCount,
     newer_peers::NewerPeers,
     observed_load::ObservedLoad,
     open_ask::OpenAsk,
-    orderer_phase::OrdererPhase,
     parts_answered::PartsAnswered,
-    pick::Pick,
+    pending_run_report::PendingRunReport,
+    permit_request::PermitRequest,
     prefix_hints::PrefixHints,
     prober::Prober,
     readiness::Readiness,
     recall::Recall,
     region_contact::millis,
     region_contacts::RegionContacts,
-    rendezvous::Rendezvous,
+    rendezvous_hash::RendezvousHash,
+    replica_count::ReplicaCount,
     route_refusal::RouteRefusal,
-    run_ask::RunAsk,
-    run_report::RunReport,
     rustc_hash::{FxHashMap, FxHashSet},
+    scored_upstream::ScoredUpstream,
     seed_addresses::SeedAddresses,
     serde::{Deserialize, Serialize},
     slack_entry::SlackEntry,
@@ -54,14 +52,16 @@
         net::SocketAddr,
         time::Duration,
     },
-    suspect::{CrashOf, Grant, RunOf, Suspect},
-    suspect_ledger::SuspectLedger,
+    suspect::{CrashReport, RunGrant, Suspect, VmRun},
+    suspect_table::SuspectTable,
     token_bucket::{TokenBucket, scale, time_for},
     unsynced_batch::UnsyncedBatch,
     upstream_group::UpstreamGroup,
+    upstream_index::UpstreamIndex,
     upstream_state::UpstreamState,
     vm_table::VmTable,
     withdrawal_proposals::WithdrawalProposals,
+    workspace_backlog::{WaitingEntry, WorkspaceBacklog},
     xxhash_rust::xxh3::{Xxh3, xxh3_64, xxh3_64_with_seed},
 };
 
@@ -75,7 +75,6 @@
     cache_change::CacheChange,
     cache_event::CacheEvent,
     call::Call,
-    candidate::Candidate,
     catalog::Catalog,
     change::Change,
     change_outcome::ChangeOutcome,
@@ -88,7 +87,7 @@
     document::*,
     drain_status::DrainStatus,
     durable_state::DurableState,
-    engine_view::EngineView,
+    engine_report::EngineReport,
     entry_list::EntryList,
     entry_vm::EntryVm,
     fair_queue::FairQueue,
@@ -97,6 +96,9 @@
     feed_message::FeedMessage,
     feed_output::FeedOutput,
     fence::*,
+    fenced_role::FencedRole,
+    fenced_role_error::FencedRoleError,
+    fenced_role_timings::FencedRoleTimings,
     gateway::*,
     group_member_status::GroupMemberStatus,
     group_status::GroupStatus,
@@ -123,15 +125,12 @@
     member_change::MemberChange,
     member_id::MemberId,
     membership::*,
-    model_needs::ModelNeeds,
     model_replica::ModelReplica,
+    model_requirements::ModelRequirements,
     operator_error::OperatorError,
     operator_path::*,
     operator_status::OperatorStatus,
     order::*,
-    orderer::Orderer,
-    orderer_fault::OrdererFault,
-    orderer_times::OrdererTimes,
     permit::Permit,
     place::Place,
     placement::*,
@@ -155,6 +154,7 @@
     retry_budget::RetryBudget,
     retryable::Retryable,
     route::Route,
+    route_candidate::RouteCandidate,
     route_query::RouteQuery,
     route_reason::RouteReason,
     router::Router,
@@ -196,20 +196,18 @@
 mod allowance;
 mod append_outcome;
 mod ask_id;
-mod backlog;
 mod body_hash;
 mod borrowed_lease;
 mod borrower;
 mod cache_change;
 mod cache_event;
 mod call;
-mod candidate;
 mod catalog;
 mod change;
 mod change_log;
 mod change_outcome;
 mod change_request;
-mod circuit;
+mod circuit_breaker;
 mod command;
 mod command_outcome;
 mod connection_fate;
@@ -220,7 +218,7 @@
 mod drain_status;
 mod durable_state;
 mod encoded_weight;
-mod engine_view;
+mod engine_report;
 mod entry_list;
 mod entry_vm;
 mod event_scanner;
@@ -231,7 +229,10 @@
 mod feed_output;
 mod feed_peers;
 mod fence;
-mod fleet;
+mod fenced_role;
+mod fenced_role_error;
+mod fenced_role_phase;
+mod fenced_role_timings;
 mod fleet_share;
 mod gateway;
 mod group_member_status;
@@ -263,9 +264,8 @@
 mod member_change;
 mod member_id;
 mod membership;
-mod model_count;
-mod model_needs;
 mod model_replica;
+mod model_requirements;
 mod newer_peers;
 mod observed_load;
 mod open_ask;
@@ -273,13 +273,10 @@
 mod operator_path;
 mod operator_status;
 mod order;
-mod orderer;
-mod orderer_fault;
-mod orderer_phase;
-mod orderer_times;
 mod parts_answered;
+mod pending_run_report;
 mod permit;
-mod pick;
+mod permit_request;
 mod place;
 mod placement;
 mod prefix_cache;
@@ -301,22 +298,23 @@
 mod region;
 mod region_contact;
 mod region_contacts;
-mod rendezvous;
+mod rendezvous_hash;
 mod replica;
+mod replica_count;
 mod reservation;
 mod resumption;
 mod retry_budget;
 mod retryable;
 mod route;
+mod route_candidate;
 mod route_query;
 mod route_reason;
 mod route_refusal;
 mod router;
-mod run_ask;
 mod run_end;
 mod run_permit;
-mod run_report;
 mod run_state;
+mod scored_upstream;
 mod seed_addresses;
 mod sending;
 mod service;
@@ -331,7 +329,7 @@
 mod stream_guard;
 mod stream_verdict;
 mod suspect;
-mod suspect_ledger;
+mod suspect_table;
 mod target;
 mod ticket_id;
 mod token_bucket;
@@ -340,6 +338,7 @@
 mod unsynced_batch;
 mod upstream;
 mod upstream_group;
+mod upstream_index;
 mod upstream_kind;
 mod upstream_state;
 mod upstream_status;
@@ -358,3 +357,4 @@
 mod withdrawals;
 mod workspace;
 mod workspace_allowance_status;
+mod workspace_backlog;
--- a/crates/ebonystand-core/src/link_budget.rs
+++ b/crates/ebonystand-core/src/link_budget.rs
@@ -51,7 +51,7 @@
     /// Bytes that the class may send now.
     #[must_use]
     pub fn remaining(&self, now: Duration, class: TrafficClass) -> u64 {
-        let floor = self.bytes_per_s * class.floor_permille() as f64 / 1_000.0;
+        let floor = self.bytes_per_s * class.reserved_permille() as f64 / 1_000.0;
         (self.level_at(now) - floor).max(0.0) as u64
     }
 
@@ -67,7 +67,7 @@
     /// Time until the class may have sent that many bytes.
     #[must_use]
     pub fn wait(&self, now: Duration, class: TrafficClass, bytes: u64) -> Duration {
-        let floor = self.bytes_per_s * class.floor_permille() as f64 / 1_000.0;
+        let floor = self.bytes_per_s * class.reserved_permille() as f64 / 1_000.0;
         let missing = bytes as f64 + floor - self.level_at(now);
         Duration::from_secs_f64((missing / self.bytes_per_s).max(0.0))
     }
--- a/crates/ebonystand-core/src/load_exchange/relay_plan.rs
+++ b/crates/ebonystand-core/src/load_exchange/relay_plan.rs
@@ -28,7 +28,7 @@
             zones.entry(&vm.zone).or_default().push(vm);
         }
         let is_direct = zones.values().map(Vec::len).sum::<usize>() <= Self::DIRECT;
-        let rendezvous = Rendezvous::new(Self::SEED);
+        let rendezvous = RendezvousHash::new(Self::SEED);
         let of_zone = |vms: Vec<&'a RegionVm>| {
             let count = match is_direct {
                 true => vms.len(),
@@ -60,7 +60,7 @@
     /// spread among the zone's VMs.
     #[must_use]
     pub fn order(&self, own: &str, zone: &str) -> Vec<VmId> {
-        let rendezvous = Rendezvous::new(xxh3_64(own.as_bytes()));
+        let rendezvous = RendezvousHash::new(xxh3_64(own.as_bytes()));
         let others = self.relays.iter().filter(|(_, vm)| **vm != *own);
         let mut order = others.collect::<Vec<_>>();
         order.sort_by_key(|(of, vm)| (**of != *zone, std::cmp::Reverse(rendezvous.weight(vm))));
--- a/crates/ebonystand-core/src/membership/membership_body.rs
+++ b/crates/ebonystand-core/src/membership/membership_body.rs
@@ -46,19 +46,19 @@
     pub(crate) fn weight(&self) -> usize {
         const FLAG: usize = 1;
         const VARIANT: usize = 1;
-        let relay_weight = |relay: &Option<SocketAddr>| FLAG + relay.map_or(0, address_weight);
+        let relay_weight = |relay: &Option<SocketAddr>| FLAG + relay.map_or(0, address_encoded_len);
         VARIANT
             + match self {
                 Self::Ack { relay, sent_ms, vm } => {
-                    relay_weight(relay) + varint_weight(*sent_ms) + text_weight(vm)
+                    relay_weight(relay) + varint_encoded_len(*sent_ms) + text_encoded_len(vm)
                 }
                 Self::Gossip => 0,
-                Self::Ping { relay, sent_ms } => relay_weight(relay) + varint_weight(*sent_ms),
+                Self::Ping { relay, sent_ms } => relay_weight(relay) + varint_encoded_len(*sent_ms),
                 Self::PingRequest { sent_ms, target } => {
-                    varint_weight(*sent_ms) + address_weight(*target)
+                    varint_encoded_len(*sent_ms) + address_encoded_len(*target)
                 }
                 Self::Records { .. } => FLAG,
-                Self::Sync { digests } => varint_weight(digests.len() as u64) + digests.len(),
+                Self::Sync { digests } => varint_encoded_len(digests.len() as u64) + digests.len(),
             }
     }
 }
--- a/crates/ebonystand-core/src/membership/membership_message.rs
+++ b/crates/ebonystand-core/src/membership/membership_message.rs
@@ -59,7 +59,7 @@
         LENGTHS
             + self.body.weight()
             + self.from.weight()
-            + varint_weight(self.withdrawals)
+            + varint_encoded_len(self.withdrawals)
             + self
                 .contacts
                 .iter()
--- a/crates/ebonystand-core/src/model_needs.rs
+++ b/crates/ebonystand-core/src/model_requirements.rs
@@ -3,7 +3,7 @@
 /// What a model needs in a region.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct ModelNeeds {
+pub struct ModelRequirements {
     /// Size of its weights, in bytes.
     pub bytes: u64,
     /// Replicas below which it never falls by an order.
--- a/crates/ebonystand-core/src/order/order_key_fault.rs
+++ b/crates/ebonystand-core/src/order/order_key_fault.rs
@@ -37,8 +37,8 @@
         let message = self.to_string();
         match self {
             Self::Early | Self::Form => Refusal::not_run(RefusalCode::BadHeader, message),
-            Self::Region { .. } => Refusal::unknown(RefusalCode::BadHeader, message),
-            Self::Residency { .. } => Refusal::unknown(RefusalCode::Residency, message),
+            Self::Region { .. } => Refusal::possibly_run(RefusalCode::BadHeader, message),
+            Self::Residency { .. } => Refusal::possibly_run(RefusalCode::Residency, message),
         }
     }
 }
--- a/crates/ebonystand-core/src/order/order_reply.rs
+++ b/crates/ebonystand-core/src/order/order_reply.rs
@@ -21,7 +21,7 @@
     /// Reply to a request whose grant is not known when its time is up.
     pub(crate) fn late() -> Self {
         Self::Refusal(
-            Refusal::unknown(
+            Refusal::possibly_run(
                 RefusalCode::Deadline,
                 "the order is not settled in time; send it again under the same key",
             )
@@ -42,7 +42,7 @@
                 RefusalCode::Deadline,
                 "the order was not sent; it may be sent again under the same key",
             ),
-            OrderOutcome::AlreadyGranted => Refusal::unknown(
+            OrderOutcome::AlreadyGranted => Refusal::possibly_run(
                 RefusalCode::OrderUnknown,
                 "the order was sent before and may be running; ask again for its answer",
             )
@@ -57,7 +57,7 @@
                 RefusalCode::OrderConflict,
                 "the order key was used with another body; take a new key for a new order",
             ),
-            OrderOutcome::Expired => Refusal::unknown(
+            OrderOutcome::Expired => Refusal::possibly_run(
                 RefusalCode::OrderExpired,
                 "the order key is too old; what became of its order is forgotten",
             ),
@@ -78,7 +78,7 @@
 
     /// Refusal of a request whose order was sent without an answer.
     pub(crate) fn unanswered() -> Refusal {
-        Refusal::unknown(
+        Refusal::possibly_run(
             RefusalCode::OrderUnknown,
             "the order was sent and got no answer; it may have run and is never sent again",
         )
--- a/crates/ebonystand-core/src/run_ask.rs
+++ b/crates/ebonystand-core/src/permit_request.rs
@@ -2,9 +2,9 @@
 
 /// A run that a VM has asked its owner for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct RunAsk {
+pub(crate) struct PermitRequest {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) is_granted: bool,
     /// A grant that is not used by then is void.
-    pub(crate) start_by: Duration,
+    pub(crate) start_deadline: Duration,
 }
--- a/crates/ebonystand-core/src/placement/mod.rs
+++ b/crates/ebonystand-core/src/placement/mod.rs
@@ -4,7 +4,8 @@
 
 pub use {
     placement_action::PlacementAction, placement_order::PlacementOrder,
-    placement_reason::PlacementReason, placement_settings::PlacementSettings, state::Placement,
+    placement_reason::PlacementReason, placement_settings::PlacementSettings,
+    state::PlacementController,
 };
 
 pub(crate) use placement_view::PlacementView;
--- a/crates/ebonystand-core/src/placement/placement_order.rs
+++ b/crates/ebonystand-core/src/placement/placement_order.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An order of a [`Placement`]; its text is the log line.
+/// An order of a [`PlacementController`]; its text is the log line.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[display("{action} {replica}: {reason}")]
 pub struct PlacementOrder {
--- a/crates/ebonystand-core/src/placement/placement_settings.rs
+++ b/crates/ebonystand-core/src/placement/placement_settings.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Settings of a [`Placement`].
+/// Settings of a [`PlacementController`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSettings {
@@ -11,7 +11,7 @@
     /// band, in which the number of replicas stays as it is.
     pub remove_below_permille: u64,
     /// What each model needs; others are left alone.
-    pub models: BTreeMap<ModelId, ModelNeeds>,
+    pub models: BTreeMap<ModelId, ModelRequirements>,
     /// Time for which a new controller watches before it removes for want of demand, and for which
     /// an engine that failed to load a model is not asked again.
     pub settle: Duration,
@@ -26,7 +26,7 @@
 impl PlacementSettings {
     /// Time that a model's weights take from the store.
     #[must_use]
-    pub fn load_time(&self, needs: &ModelNeeds) -> Duration {
-        Duration::from_secs_f64(needs.bytes as f64 / self.store_rate.max(1) as f64)
+    pub fn load_duration(&self, requirements: &ModelRequirements) -> Duration {
+        Duration::from_secs_f64(requirements.bytes as f64 / self.store_rate.max(1) as f64)
     }
 }
--- a/crates/ebonystand-core/src/placement/placement_view.rs
+++ b/crates/ebonystand-core/src/placement/placement_view.rs
@@ -1,78 +1,80 @@
 use super::*;
 
-/// What a [`Placement`] decides on: its own state and the engines' last reports, at one moment.
+/// What a [`PlacementController`] decides on: its own state and the engines' last reports, at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementView<'a> {
     /// Last reports.
-    pub(crate) engines: &'a BTreeMap<UpstreamId, EngineView>,
+    pub(crate) engines: &'a BTreeMap<UpstreamId, EngineReport>,
     /// Time of the decision.
     pub(crate) now: Duration,
     /// The controller.
-    pub(crate) state: &'a Placement,
+    pub(crate) state: &'a PlacementController,
 }
 
 impl<'a> PlacementView<'a> {
     /// Replicas of each model of the settings.
-    pub(crate) fn counts(&self) -> impl Iterator<Item = ModelCount<'a>> {
+    pub(crate) fn model_counts(&self) -> impl Iterator<Item = ReplicaCount<'a>> {
         let view = *self;
         let models = &view.state.settings.models;
-        models.iter().map(move |(model, needs)| ModelCount {
-            coming: view.coming(model),
-            demand: view.state.demand_of(model),
-            model,
-            needs,
-            warm: view.warm(model).count(),
-        })
+        models
+            .iter()
+            .map(move |(model, requirements)| ReplicaCount {
+                loading: view.count_loading(model),
+                demand: view.state.smoothed_demand(model),
+                model,
+                requirements,
+                warm: view.warm_replicas(model).count(),
+            })
     }
 
     /// Engine with the most room for a model that it has not, if any has enough.
-    pub(crate) fn engine_for(&self, count: &ModelCount) -> Option<&'a UpstreamId> {
-        let fits = |id: &UpstreamId, engine: &EngineView| {
+    pub(crate) fn find_engine_for(&self, count: &ReplicaCount) -> Option<&'a UpstreamId> {
+        let fits = |id: &UpstreamId, engine: &EngineReport| {
             let replica = ModelReplica::new(id, count.model);
-            self.serves(engine)
+            self.can_serve(engine)
                 && !engine.models.contains_key(count.model)
-                && !self.state.loading.contains_key(&replica)
-                && !self.state.failed.contains_key(&replica)
-                && self.free(id, engine) >= count.needs.bytes
+                && !self.state.pending_loads.contains_key(&replica)
+                && !self.state.failed_loads.contains_key(&replica)
+                && self.free_bytes(id, engine) >= count.requirements.bytes
         };
         self.engines
             .iter()
             .filter(|(id, engine)| fits(id, engine))
-            .max_by_key(|(id, engine)| self.free(id, engine))
+            .max_by_key(|(id, engine)| self.free_bytes(id, engine))
             .map(|(id, _)| id)
     }
 
     /// The report of a replica's engine, if it is recent and shows the replica.
-    pub(crate) fn engine_of(&self, replica: &ModelReplica) -> Option<&'a EngineView> {
+    pub(crate) fn reporting_engine(&self, replica: &ModelReplica) -> Option<&'a EngineReport> {
         self.engines
             .get(&replica.engine)
             .filter(|engine| self.is_fresh(engine) && engine.models.contains_key(&replica.model))
     }
 
     /// Models with too few replicas, the most urgent first.
-    pub(crate) fn lacking(&self) -> Vec<ModelCount<'a>> {
+    pub(crate) fn lacking_models(&self) -> Vec<ReplicaCount<'a>> {
         let settings = &self.state.settings;
         let mut lacking: Vec<_> = self
-            .counts()
-            .filter(|count| count.all() < count.need(settings))
+            .model_counts()
+            .filter(|count| count.total() < count.target(settings))
             .collect();
-        lacking.sort_by(ModelCount::urgency);
+        lacking.sort_by(ReplicaCount::compare_urgency);
         lacking
     }
 
     /// The model below its floor that no engine has room for, if any.
-    pub(crate) fn starved(&self) -> Option<ModelCount<'a>> {
-        self.lacking()
+    pub(crate) fn starved_model(&self) -> Option<ReplicaCount<'a>> {
+        self.lacking_models()
             .into_iter()
-            .find(|count| count.is_below_floor() && self.engine_for(count).is_none())
+            .find(|count| count.is_below_floor() && self.find_engine_for(count).is_none())
     }
 
     /// ModelReplica of a model that is to be retired now, if any.
-    pub(crate) fn retirement(&self, count: &ModelCount<'a>) -> Option<PlacementOrder> {
+    pub(crate) fn find_retirement(&self, count: &ReplicaCount<'a>) -> Option<PlacementOrder> {
         let (engine, reason) = self
-            .leaving(count)
-            .or_else(|| self.surplus(count))
-            .or_else(|| self.room(count))?;
+            .find_leaving_replica(count)
+            .or_else(|| self.find_surplus_replica(count))
+            .or_else(|| self.find_replica_to_make_room(count))?;
         Some(PlacementOrder {
             action: PlacementAction::Retire,
             reason,
@@ -80,21 +82,21 @@
         })
     }
 
-    fn coming(&self, model: &ModelId) -> usize {
+    fn count_loading(&self, model: &ModelId) -> usize {
         let serving = |id| {
             self.engines
                 .get(id)
-                .is_some_and(|engine| self.serves(engine))
+                .is_some_and(|engine| self.can_serve(engine))
         };
-        let loading = self.state.loading.keys();
+        let loading = self.state.pending_loads.keys();
         loading
             .filter(|replica| replica.model == *model && serving(&replica.engine))
             .count()
     }
 
-    fn free(&self, id: &UpstreamId, engine: &EngineView) -> u64 {
+    fn free_bytes(&self, id: &UpstreamId, engine: &EngineReport) -> u64 {
         let coming =
-            self.state.loading.keys().filter(|replica| {
+            self.state.pending_loads.keys().filter(|replica| {
                 replica.engine == *id && !engine.models.contains_key(&replica.model)
             });
         let taken: u64 = engine
@@ -102,18 +104,21 @@
             .keys()
             .chain(coming.map(|replica| &replica.model))
             .filter_map(|model| self.state.settings.models.get(model))
-            .map(|needs| needs.bytes)
+            .map(|requirements| requirements.bytes)
             .sum();
-        engine.room.saturating_sub(taken)
+        engine.weight_capacity.saturating_sub(taken)
     }
 
-    fn is_fresh(&self, engine: &EngineView) -> bool {
+    fn is_fresh(&self, engine: &EngineReport) -> bool {
         self.now.saturating_sub(engine.reported_at) <= self.state.settings.stale
     }
 
     /// A leaving engine gives up a model only once the others carry it without it.
-    fn leaving(&self, count: &ModelCount<'a>) -> Option<(&'a UpstreamId, PlacementReason)> {
-        if count.warm < count.need(&self.state.settings).max(1) {
+    fn find_leaving_replica(
+        &self,
+        count: &ReplicaCount<'a>,
+    ) -> Option<(&'a UpstreamId, PlacementReason)> {
+        if count.warm < count.target(&self.state.settings).max(1) {
             return None;
         }
         let replicas = count.warm;
@@ -122,57 +127,68 @@
             .find(|(id, engine)| {
                 let replica = ModelReplica::new(id, count.model);
                 engine.leaving
-                    && self.engine_of(&replica).is_some()
-                    && !self.state.retired.contains_key(&replica)
+                    && self.reporting_engine(&replica).is_some()
+                    && !self.state.retired_replicas.contains_key(&replica)
             })
             .map(|(id, _)| (id, PlacementReason::Leaving { replicas }))
     }
 
     /// Frees room for a model that is below its floor and fits nowhere, one replica at a time.
-    fn room(&self, count: &ModelCount<'a>) -> Option<(&'a UpstreamId, PlacementReason)> {
-        let starved = self.starved()?;
-        let mut retired = self.state.retired.keys();
-        let making_room = retired.any(|replica| self.engine_of(replica).is_some());
-        if making_room || count.warm <= count.needs.floor.max(1) {
+    fn find_replica_to_make_room(
+        &self,
+        count: &ReplicaCount<'a>,
+    ) -> Option<(&'a UpstreamId, PlacementReason)> {
+        let starved = self.starved_model()?;
+        let mut retired = self.state.retired_replicas.keys();
+        let making_room = retired.any(|replica| self.reporting_engine(replica).is_some());
+        if making_room || count.warm <= count.requirements.floor.max(1) {
             return None;
         }
         let model = starved.model.clone();
-        self.warm(count.model)
+        self.warm_replicas(count.model)
             .find(|(id, engine)| {
                 !engine.models.contains_key(starved.model)
-                    && self.free(id, engine) + count.needs.bytes >= starved.needs.bytes
+                    && self.free_bytes(id, engine) + count.requirements.bytes
+                        >= starved.requirements.bytes
             })
             .map(|(id, _)| (id, PlacementReason::Room { model }))
     }
 
-    fn serves(&self, engine: &EngineView) -> bool {
+    fn can_serve(&self, engine: &EngineReport) -> bool {
         !engine.leaving && self.is_fresh(engine)
     }
 
     /// A new controller knows no demand yet: it watches before it takes a lack of it for real, or
     /// each change of the controller would unload what the last one had loaded.
-    fn surplus(&self, count: &ModelCount<'a>) -> Option<(&'a UpstreamId, PlacementReason)> {
+    fn find_surplus_replica(
+        &self,
+        count: &ReplicaCount<'a>,
+    ) -> Option<(&'a UpstreamId, PlacementReason)> {
         let settings = &self.state.settings;
-        if self.now < self.state.started + settings.settle || !count.spares_one(settings) {
+        if self.now < self.state.started_at + settings.settle || !count.can_spare_replica(settings)
+        {
             return None;
         }
         let reason = PlacementReason::Surplus {
             demand: count.demand as Tokens,
             replicas: count.warm,
         };
-        self.warm(count.model)
+        self.warm_replicas(count.model)
             .min_by_key(|(_, engine)| engine.models.get(count.model))
             .map(|(id, _)| (id, reason))
     }
 
-    fn warm(&self, model: &'a ModelId) -> impl Iterator<Item = (&'a UpstreamId, &'a EngineView)> {
+    fn warm_replicas(
+        &self,
+        model: &'a ModelId,
+    ) -> impl Iterator<Item = (&'a UpstreamId, &'a EngineReport)> {
         let view = *self;
         view.engines.iter().filter(move |(id, engine)| {
-            view.serves(engine)
+            view.can_serve(engine)
                 && engine.models.contains_key(model)
                 && !view
                     .state
-                    .retired
+                    .retired_replicas
                     .contains_key(&ModelReplica::new(id, model))
         })
     }
--- a/crates/ebonystand-core/src/placement/state.rs
+++ b/crates/ebonystand-core/src/placement/state.rs
@@ -2,25 +2,25 @@
 
 /// Controller of one region: decides which engine holds which model.
 ///
-/// The VM that runs it holds the region's placement role ([`Orderer`]), and sends each order with
+/// The VM that runs it holds the region's placement role ([`FencedRole`]), and sends each order with
 /// a [`FencePermit`].
 #[derive(Debug)]
-pub struct Placement {
+pub struct PlacementController {
     demand: BTreeMap<ModelId, SmoothedRate>,
     /// Loads that took too long, and when they were given up.
-    pub(crate) failed: BTreeMap<ModelReplica, Duration>,
+    pub(crate) failed_loads: BTreeMap<ModelReplica, Duration>,
     /// Loads that were ordered and not seen done, and when.
-    pub(crate) loading: BTreeMap<ModelReplica, Duration>,
+    pub(crate) pending_loads: BTreeMap<ModelReplica, Duration>,
     /// Replicas that get no new request, and since when.
-    pub(crate) retired: BTreeMap<ModelReplica, Duration>,
+    pub(crate) retired_replicas: BTreeMap<ModelReplica, Duration>,
     pub(crate) settings: PlacementSettings,
-    pub(crate) started: Duration,
+    pub(crate) started_at: Duration,
     store_free_at: Duration,
 }
 
-impl Placement {
+impl PlacementController {
     /// Multiple of the time that a load takes from the store after which it is given up.
-    pub const PATIENCE: u32 = 3;
+    pub const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
     /// A controller that starts at `now`.
     ///
@@ -31,20 +31,20 @@
         let times = settings
             .models
             .values()
-            .map(|needs| settings.load_time(needs));
+            .map(|requirements| settings.load_duration(requirements));
         Self {
             demand: BTreeMap::new(),
-            failed: BTreeMap::new(),
-            loading: BTreeMap::new(),
-            retired: BTreeMap::new(),
+            failed_loads: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
+            retired_replicas: BTreeMap::new(),
             store_free_at: now + times.max().unwrap_or_default(),
             settings,
-            started: now,
+            started_at: now,
         }
     }
 
     /// Takes a sample of what callers ask of a model over the region, in tokens a second.
-    pub fn demand(&mut self, now: Duration, model: &ModelId, rate: f64) {
+    pub fn record_demand(&mut self, now: Duration, model: &ModelId, rate: f64) {
         self.demand
             .entry(model.clone())
             .or_default()
@@ -53,26 +53,26 @@
 
     /// Smoothed demand of a model, in tokens a second.
     #[must_use]
-    pub fn demand_of(&self, model: &ModelId) -> f64 {
+    pub fn smoothed_demand(&self, model: &ModelId) -> f64 {
         self.demand.get(model).map_or(0.0, SmoothedRate::value)
     }
 
     /// Replicas that get no new request.
-    pub fn retired(&self) -> impl Iterator<Item = &ModelReplica> {
-        self.retired.keys()
+    pub fn retired_replicas(&self) -> impl Iterator<Item = &ModelReplica> {
+        self.retired_replicas.keys()
     }
 
     /// Decides on the engines' last reports.
-    pub fn step(
+    pub fn plan(
         &mut self,
         now: Duration,
-        engines: &BTreeMap<UpstreamId, EngineView>,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
-        self.settle(now, engines);
-        let mut orders = self.restore(now, engines);
-        orders.extend(self.load(now, engines));
-        orders.extend(self.retire(now, engines));
-        orders.extend(self.unload(now, engines));
+        self.update_pending_orders(now, engines);
+        let mut orders = self.order_restores(now, engines);
+        orders.extend(self.order_load(now, engines));
+        orders.extend(self.order_retirements(now, engines));
+        orders.extend(self.order_unloads(now, engines));
         orders
     }
 
@@ -80,26 +80,26 @@
     ///
     /// Loads that share the store's rate would all end late; one after the other, the first ends
     /// as early as it can.
-    fn load(
+    fn order_load(
         &mut self,
         now: Duration,
-        engines: &BTreeMap<UpstreamId, EngineView>,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Option<PlacementOrder> {
         if now < self.store_free_at {
             return None;
         }
         let view = self.view(now, engines);
         let (count, engine) = view
-            .lacking()
+            .lacking_models()
             .into_iter()
-            .find_map(|count| view.engine_for(&count).map(|engine| (count, engine)))?;
+            .find_map(|count| view.find_engine_for(&count).map(|engine| (count, engine)))?;
         let order = PlacementOrder {
             action: PlacementAction::Load,
             reason: count.reason_to_add(),
             replica: ModelReplica::new(engine, count.model),
         };
-        self.store_free_at = now + self.settings.load_time(count.needs);
-        self.loading.insert(order.replica.clone(), now);
+        self.store_free_at = now + self.settings.load_duration(count.requirements);
+        self.pending_loads.insert(order.replica.clone(), now);
         Some(order)
     }
 
@@ -107,19 +107,19 @@
     ///
     /// While a model below its floor waits for room, demand alone takes none back: the room would
     /// be retired for and taken back in turn, for ever.
-    fn restore(
+    fn order_restores(
         &mut self,
         now: Duration,
-        engines: &BTreeMap<UpstreamId, EngineView>,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
-        let starved = view.starved().is_some();
-        let back = |count: ModelCount| {
-            if starved && !count.is_below_floor() {
+        let is_starved = view.starved_model().is_some();
+        let back = |count: ReplicaCount| {
+            if is_starved && !count.is_below_floor() {
                 return None;
             }
-            let replica = self.retired.keys().find(|replica| {
-                let engine = view.engine_of(replica);
+            let replica = self.retired_replicas.keys().find(|replica| {
+                let engine = view.reporting_engine(replica);
                 replica.model == *count.model && engine.is_some_and(|engine| !engine.leaving)
             })?;
             Some(PlacementOrder {
@@ -128,56 +128,64 @@
                 replica: replica.clone(),
             })
         };
-        let orders: Vec<_> = view.lacking().into_iter().filter_map(back).collect();
+        let orders: Vec<_> = view.lacking_models().into_iter().filter_map(back).collect();
         for order in &orders {
-            self.retired.remove(&order.replica);
+            self.retired_replicas.remove(&order.replica);
         }
         orders
     }
 
     /// Retires one replica at most of each model that can spare one.
-    fn retire(
+    fn order_retirements(
         &mut self,
         now: Duration,
-        engines: &BTreeMap<UpstreamId, EngineView>,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
         let mut makes_room = false;
         let mut orders: Vec<_> = view
-            .counts()
-            .filter_map(|count| view.retirement(&count))
+            .model_counts()
+            .filter_map(|count| view.find_retirement(&count))
             .collect();
         orders.retain(|order| {
             let for_room = matches!(order.reason, PlacementReason::Room { .. });
             !for_room || !std::mem::replace(&mut makes_room, true)
         });
         for order in &orders {
-            self.retired.insert(order.replica.clone(), now);
+            self.retired_replicas.insert(order.replica.clone(), now);
         }
         orders
     }
 
     /// Forgets orders that have taken effect, and gives up those that take too long.
-    fn settle(&mut self, now: Duration, engines: &BTreeMap<UpstreamId, EngineView>) {
+    fn update_pending_orders(
+        &mut self,
+        now: Duration,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
+    ) {
         let has = |replica: &ModelReplica| {
             engines
                 .get(&replica.engine)
                 .is_some_and(|engine| engine.models.contains_key(&replica.model))
         };
         let Self {
-            failed, settings, ..
+            failed_loads,
+            settings,
+            ..
         } = self;
-        self.loading.retain(|replica, ordered| {
-            let needs = settings.models.get(&replica.model);
-            let time = needs.map_or(Duration::ZERO, |needs| settings.load_time(needs));
-            let late = now >= *ordered + time * Self::PATIENCE + settings.stale;
+        self.pending_loads.retain(|replica, ordered| {
+            let requirements = settings.models.get(&replica.model);
+            let time = requirements.map_or(Duration::ZERO, |requirements| {
+                settings.load_duration(requirements)
+            });
+            let late = now >= *ordered + time * Self::LOAD_TIMEOUT_FACTOR + settings.stale;
             if late && !has(replica) {
-                failed.insert(replica.clone(), now);
+                failed_loads.insert(replica.clone(), now);
             }
             !late && !has(replica)
         });
-        failed.retain(|_, at| now < *at + settings.settle);
-        self.retired.retain(|replica, _| has(replica));
+        failed_loads.retain(|_, at| now < *at + settings.settle);
+        self.retired_replicas.retain(|replica, _| has(replica));
     }
 
     /// Unloads retired replicas that run nothing.
@@ -185,24 +193,24 @@
     /// Only a report from some time after the retirement counts: an earlier one misses requests
     /// that were on their way when it was made, and they would be cut. The others are counted
     /// again: a successor may have died since the retirement, and its engine be empty.
-    fn unload(
+    fn order_unloads(
         &self,
         now: Duration,
-        engines: &BTreeMap<UpstreamId, EngineView>,
+        engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
         let carried: BTreeSet<_> = view
-            .counts()
-            .filter(|count| count.warm >= count.needs.floor.max(1))
+            .model_counts()
+            .filter(|count| count.warm >= count.requirements.floor.max(1))
             .map(|count| count.model)
             .collect();
         let drained = |replica: &ModelReplica, since: Duration| {
-            view.engine_of(replica).is_some_and(|engine| {
+            view.reporting_engine(replica).is_some_and(|engine| {
                 engine.reported_at >= since + self.settings.stale
                     && engine.models.get(&replica.model) == Some(&0)
             })
         };
-        self.retired
+        self.retired_replicas
             .iter()
             .filter(|(replica, since)| {
                 carried.contains(&replica.model) && drained(replica, **since)
@@ -218,7 +226,7 @@
     fn view<'a>(
         &'a self,
         now: Duration,
-        engines: &'a BTreeMap<UpstreamId, EngineView>,
+        engines: &'a BTreeMap<UpstreamId, EngineReport>,
     ) -> PlacementView<'a> {
         PlacementView {
             engines,
--- a/crates/ebonystand-core/src/prefix_hints.rs
+++ b/crates/ebonystand-core/src/prefix_hints.rs
@@ -21,8 +21,8 @@
     /// Entries of the table; a newer one replaces the older one in its place.
     const ENTRIES: usize = 16_384;
 
-    pub(crate) fn forget(&mut self, key: u64, upstream: u32) {
-        let entry = &mut self.entries[Self::place(key)];
+    pub(crate) fn remove(&mut self, key: u64, upstream: u32) {
+        let entry = &mut self.entries[Self::entry_index(key)];
         if entry.is_some_and(|hint| hint.key == key && hint.upstream == upstream) {
             *entry = None;
         }
@@ -30,7 +30,7 @@
 
     /// The upstream and its generation when the hint was taken.
     pub(crate) fn get(&self, key: u64) -> Option<(u32, u32)> {
-        self.entries[Self::place(key)]
+        self.entries[Self::entry_index(key)]
             .filter(|hint| hint.key == key)
             .map(|hint| (hint.upstream, hint.generation))
     }
@@ -44,15 +44,15 @@
         xxh3_64_with_seed(name.as_bytes(), scope ^ kind)
     }
 
-    pub(crate) fn put(&mut self, key: u64, upstream: u32, generation: u32) {
-        self.entries[Self::place(key)] = Some(Hint {
+    pub(crate) fn insert(&mut self, key: u64, upstream: u32, generation: u32) {
+        self.entries[Self::entry_index(key)] = Some(Hint {
             generation,
             key,
             upstream,
         });
     }
 
-    fn place(key: u64) -> usize {
+    fn entry_index(key: u64) -> usize {
         key as usize % Self::ENTRIES
     }
 }
--- a/crates/ebonystand-core/src/priority.rs
+++ b/crates/ebonystand-core/src/priority.rs
@@ -28,7 +28,7 @@
     }
 
     /// Priority of a workspace that is `lead` times its quantum ahead of the others.
-    pub(crate) fn of_lead(lead: Tokens) -> Self {
+    pub(crate) fn from_lead(lead: Tokens) -> Self {
         match lead {
             0..=1 => Self(0),
             2..=4 => Self(1),
--- a/crates/ebonystand-core/src/quarantine/mod.rs
+++ b/crates/ebonystand-core/src/quarantine/mod.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 pub use {
+    outgoing_quarantine_message::OutgoingQuarantineMessage,
+    quarantine_decision::QuarantineDecision,
     quarantine_message::QuarantineMessage,
-    quarantine_send::QuarantineSend,
-    quarantine_step::{PermitAnswer, QuarantineStep},
-    quarantine_verdict::QuarantineVerdict,
+    quarantine_output::{PermitAnswer, QuarantineOutput},
     state::Quarantine,
 };
 
+mod outgoing_quarantine_message;
+mod quarantine_decision;
 mod quarantine_message;
-mod quarantine_send;
-mod quarantine_step;
-mod quarantine_verdict;
+mod quarantine_output;
 mod state;
--- a/crates/ebonystand-core/src/quarantine/quarantine_verdict.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_decision.rs
@@ -2,11 +2,11 @@
 
 /// Whether a request may be sent to an upstream now.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum QuarantineVerdict {
+pub enum QuarantineDecision {
     /// Ask the owner first, with [`Quarantine::ask`].
-    Ask,
+    PermitRequired,
     /// It runs; end it with [`Quarantine::finished`].
-    Runs,
+    Started,
     /// It is quarantined.
     Refused {
         /// Final answer to the caller.
--- a/crates/ebonystand-core/src/quarantine/quarantine_message.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_message.rs
@@ -5,7 +5,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum QuarantineMessage {
     /// To the owner: may I run this suspect?
-    Ask {
+    #[serde(rename = "ask")]
+    RequestPermit {
         /// The request.
         fingerprint: Fingerprint,
         /// Longest time that the run can take.
@@ -13,7 +14,7 @@
         /// Run that it would be.
         run: RunId,
     },
-    /// To the owner: the answer to an [`Self::Ask`].
+    /// To the owner: the answer to an [`Self::RequestPermit`].
     Answer {
         /// The answer.
         permit: RunPermit,
@@ -61,7 +62,8 @@
         remaining: Duration,
     },
     /// To the owner: I know of the suspect.
-    Told {
+    #[serde(rename = "told")]
+    Acknowledged {
         /// The request.
         fingerprint: Fingerprint,
         /// Runs of it are under way on the sender.
--- a/crates/ebonystand-core/src/quarantine/quarantine_step.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_output.rs
@@ -2,13 +2,13 @@
 
 /// Outputs of one input of a [`Quarantine`].
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct QuarantineStep {
+pub struct QuarantineOutput {
     /// Answers to runs that were asked for.
-    pub answers: Vec<PermitAnswer>,
+    pub permit_answers: Vec<PermitAnswer>,
     /// Crash reports that all VMs know of now: the callers of these runs may be answered.
-    pub recorded: Vec<RunId>,
+    pub recorded_runs: Vec<RunId>,
     /// Messages to send.
-    pub sends: Vec<QuarantineSend>,
+    pub messages: Vec<OutgoingQuarantineMessage>,
 }
 
 /// Answer to a run that was asked for.
@@ -20,9 +20,9 @@
     pub run: RunId,
 }
 
-impl QuarantineStep {
+impl QuarantineOutput {
     pub(crate) fn send(&mut self, to: &VmId, message: QuarantineMessage) {
-        self.sends.push(QuarantineSend {
+        self.messages.push(OutgoingQuarantineMessage {
             message,
             to: to.clone(),
         });
--- a/crates/ebonystand-core/src/quarantine/state.rs
+++ b/crates/ebonystand-core/src/quarantine/state.rs
@@ -11,54 +11,54 @@
 /// VMs, each side of a partition has an owner of its own and may lose one more upstream.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Quarantine {
-    asks: BTreeMap<RunId, RunAsk>,
-    ledger: SuspectLedger,
-    me: VmId,
+    pending_permits: BTreeMap<RunId, PermitRequest>,
+    suspects: SuspectTable,
+    own_id: VmId,
     next_run: RunId,
-    reports: BTreeMap<RunId, RunReport>,
-    runs: BTreeMap<RunId, Fingerprint>,
+    pending_reports: BTreeMap<RunId, PendingRunReport>,
+    active_runs: BTreeMap<RunId, Fingerprint>,
 }
 
 impl Quarantine {
     /// Time after which the VMs that have not confirmed a crash count as unreachable.
-    pub const HOLD: Duration = Duration::from_millis(500);
+    pub const CRASH_ACK_TIMEOUT: Duration = Duration::from_millis(500);
     /// Time for which a quarantined request is refused.
-    pub const QUARANTINED_FOR: Duration = Duration::from_secs(3_600);
+    pub const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
     /// Time for which a suspect needs a grant.
-    pub const SUSPECTED_FOR: Duration = Duration::from_secs(600);
+    pub const SUSPECT_DURATION: Duration = Duration::from_secs(600);
     /// A grant starts its run within this time of the question, or not at all.
-    pub const START_WITHIN: Duration = Duration::from_secs(2);
+    pub const START_TIMEOUT: Duration = Duration::from_secs(2);
     /// State of a VM that has just started. Run numbers begin at `first_run`, which must be
     /// higher than those of the VM's earlier life.
     #[must_use]
-    pub fn new(me: VmId, first_run: RunId) -> Self {
+    pub fn new(own_id: VmId, first_run: RunId) -> Self {
         Self {
-            asks: BTreeMap::new(),
-            ledger: SuspectLedger::new(me.clone()),
-            me,
+            pending_permits: BTreeMap::new(),
+            suspects: SuspectTable::new(own_id.clone()),
+            own_id,
             next_run: first_run,
-            reports: BTreeMap::new(),
-            runs: BTreeMap::new(),
+            pending_reports: BTreeMap::new(),
+            active_runs: BTreeMap::new(),
         }
     }
 
     /// Asks the owner for a run of a suspect that takes at most `limit`. The answer comes as
-    /// [`QuarantineStep::answers`], of this or a later step; without one in
-    /// [`Self::START_WITHIN`] the answer is [`RunPermit::Wait`].
-    pub fn ask(
+    /// [`QuarantineOutput::permit_answers`], of this or a later step; without one in
+    /// [`Self::START_TIMEOUT`] the answer is [`RunPermit::Wait`].
+    pub fn request_permit(
         &mut self,
         now: Duration,
         run: RunId,
         fingerprint: Fingerprint,
         limit: Duration,
-    ) -> QuarantineStep {
-        let ask = RunAsk {
+    ) -> QuarantineOutput {
+        let request = PermitRequest {
             fingerprint,
             is_granted: false,
-            start_by: now + Self::START_WITHIN,
+            start_deadline: now + Self::START_TIMEOUT,
         };
-        self.asks.insert(run, ask);
-        let message = QuarantineMessage::Ask {
+        self.pending_permits.insert(run, request);
+        let message = QuarantineMessage::RequestPermit {
             fingerprint,
             limit,
             run,
@@ -68,24 +68,24 @@
 
     /// Starts a run if it may start now. To be called right before the dispatch, since a crash
     /// may have been reported while the request waited.
-    pub fn begin(
+    pub fn start_run(
         &mut self,
         now: Duration,
         run: RunId,
         fingerprint: Fingerprint,
-    ) -> QuarantineVerdict {
+    ) -> QuarantineDecision {
         if let Some(refusal) = self.refusal(now, fingerprint) {
-            return QuarantineVerdict::Refused { refusal };
+            return QuarantineDecision::Refused { refusal };
         }
-        let ask = self.asks.remove(&run);
-        let is_granted = ask.is_some_and(|ask| {
-            ask.is_granted && ask.fingerprint == fingerprint && now < ask.start_by
+        let request = self.pending_permits.remove(&run);
+        let is_granted = request.is_some_and(|request| {
+            request.is_granted && request.fingerprint == fingerprint && now < request.start_deadline
         });
-        if !is_granted && self.ledger.get(now, fingerprint).is_some() {
-            return QuarantineVerdict::Ask;
+        if !is_granted && self.suspects.get(now, fingerprint).is_some() {
+            return QuarantineDecision::PermitRequired;
         }
-        self.runs.insert(run, fingerprint);
-        QuarantineVerdict::Runs
+        self.active_runs.insert(run, fingerprint);
+        QuarantineDecision::Started
     }
 
     /// Fingerprint of a request.
@@ -99,17 +99,17 @@
         hasher.digest128()
     }
 
-    /// Ends a run. A crash is known to all VMs once the run is in [`QuarantineStep::recorded`], or
-    /// after [`Self::HOLD`]. A caller that is answered before and sends again at once may reach a VM
+    /// Ends a run. A crash is known to all VMs once the run is in [`QuarantineOutput::recorded_runs`], or
+    /// after [`Self::CRASH_ACK_TIMEOUT`]. A caller that is answered before and sends again at once may reach a VM
     /// that does not know yet; the daemon answers at once all the same and tells when to come back.
-    pub fn finished(&mut self, now: Duration, run: RunId, end: RunEnd) -> QuarantineStep {
-        let Some(fingerprint) = self.runs.remove(&run) else {
-            return QuarantineStep::default();
+    pub fn finish_run(&mut self, now: Duration, run: RunId, end: RunEnd) -> QuarantineOutput {
+        let Some(fingerprint) = self.active_runs.remove(&run) else {
+            return QuarantineOutput::default();
         };
         let is_running = self.is_running(fingerprint);
         match end {
-            RunEnd::Clean if self.ledger.get(now, fingerprint).is_none() => {
-                QuarantineStep::default()
+            RunEnd::Clean if self.suspects.get(now, fingerprint).is_none() => {
+                QuarantineOutput::default()
             }
             RunEnd::Clean => {
                 let message = QuarantineMessage::Ended {
@@ -117,7 +117,7 @@
                     is_running,
                     run,
                 };
-                self.report(now, fingerprint, run, message)
+                self.report_run_end(now, fingerprint, run, message)
             }
             RunEnd::Crashed { upstream } => {
                 let message = QuarantineMessage::Crashed {
@@ -126,77 +126,79 @@
                     run,
                     upstream,
                 };
-                self.report(now, fingerprint, run, message)
+                self.report_run_end(now, fingerprint, run, message)
             }
         }
     }
 
     /// Number of a new run.
-    pub fn new_run(&mut self) -> RunId {
+    pub fn allocate_run(&mut self) -> RunId {
         self.next_run += 1;
         self.next_run
     }
 
     /// Takes a message of another VM.
-    pub fn receive(
+    pub fn handle_message(
         &mut self,
         now: Duration,
         from: &VmId,
         message: QuarantineMessage,
-    ) -> QuarantineStep {
-        let mut step = QuarantineStep::default();
-        self.take(now, from, message, &mut step);
-        self.settle(now, step)
+    ) -> QuarantineOutput {
+        let mut output = QuarantineOutput::default();
+        self.handle(now, from, message, &mut output);
+        self.handle_own_messages(now, output)
     }
 
     /// The refusal of a quarantined request, for an early filter.
     #[must_use]
     pub fn refusal(&self, now: Duration, fingerprint: Fingerprint) -> Option<Refusal> {
-        let suspect = self.ledger.get(now, fingerprint)?;
+        let suspect = self.suspects.get(now, fingerprint)?;
         suspect.is_quarantined.then(|| {
             Refusal::not_run(
                 RefusalCode::Quarantined,
                 "two upstreams went down while they ran this request",
             )
-            .with_retry_after(suspect.until.saturating_sub(now))
+            .with_retry_after(suspect.expires_at.saturating_sub(now))
         })
     }
 
     /// A VM has started anew, without its memory: tells it of the suspects that this VM owns.
-    pub fn restarted(&mut self, now: Duration, vm: &VmId) -> QuarantineStep {
-        let mut step = QuarantineStep::default();
-        self.ledger.restarted(now, vm, &mut step);
-        step
+    pub fn handle_restart(&mut self, now: Duration, vm: &VmId) -> QuarantineOutput {
+        let mut output = QuarantineOutput::default();
+        self.suspects.announce_to_restarted(now, vm, &mut output);
+        output
     }
 
     /// Takes the list of live VMs; equal lists make equal owners.
-    pub fn set_live(&mut self, now: Duration, live: BTreeSet<VmId>) {
-        self.ledger.set_live(now, live);
+    pub fn set_live_vms(&mut self, now: Duration, live: BTreeSet<VmId>) {
+        self.suspects.set_live_vms(now, live);
     }
 
     /// Time has passed: sends again what is not confirmed, and gives up on what is too old. To be
     /// called a few times a second while [`Self::is_busy`].
-    pub fn tick(&mut self, now: Duration) -> QuarantineStep {
-        let mut step = QuarantineStep::default();
-        self.ledger.tick(now, &mut step);
-        self.expire_asks(now, &mut step);
-        self.resend_reports(now, &mut step);
-        self.settle(now, step)
+    pub fn tick(&mut self, now: Duration) -> QuarantineOutput {
+        let mut output = QuarantineOutput::default();
+        self.suspects.tick(now, &mut output);
+        self.expire_permit_requests(now, &mut output);
+        self.resend_reports(now, &mut output);
+        self.handle_own_messages(now, output)
     }
 
     /// Whether there is anything for [`Self::tick`] to do.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        !self.asks.is_empty() || !self.reports.is_empty() || !self.ledger.is_empty()
+        !self.pending_permits.is_empty()
+            || !self.pending_reports.is_empty()
+            || !self.suspects.is_empty()
     }
 
-    fn expire_asks(&mut self, now: Duration, step: &mut QuarantineStep) {
-        self.asks.retain(|run, ask| {
-            let is_live = now < ask.start_by;
-            if !is_live && !ask.is_granted {
-                step.answers.push(PermitAnswer {
+    fn expire_permit_requests(&mut self, now: Duration, output: &mut QuarantineOutput) {
+        self.pending_permits.retain(|run, request| {
+            let is_live = now < request.start_deadline;
+            if !is_live && !request.is_granted {
+                output.permit_answers.push(PermitAnswer {
                     permit: RunPermit::Wait {
-                        retry_after: Self::HOLD,
+                        retry_after: Self::CRASH_ACK_TIMEOUT,
                     },
                     run: *run,
                 });
@@ -208,41 +210,42 @@
     /// Whether a run is under way, or has crashed its upstream without the owner knowing: a grant
     /// in between would let a third upstream go down before the second crash is counted.
     fn is_running(&self, fingerprint: Fingerprint) -> bool {
-        let mut running = self.runs.values();
-        let mut reports = self.reports.values();
+        let mut running = self.active_runs.values();
+        let mut pending_reports = self.pending_reports.values();
         running.any(|running| *running == fingerprint)
-            || reports.any(|report| report.fingerprint == fingerprint && report.is_crash())
+            || pending_reports.any(|report| report.fingerprint == fingerprint && report.is_crash())
     }
 
     /// Reports the end of a run until the owner confirms it.
-    fn report(
+    fn report_run_end(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
         run: RunId,
         message: QuarantineMessage,
-    ) -> QuarantineStep {
-        let until = now + Self::SUSPECTED_FOR;
-        self.ledger.remember(now, fingerprint, until);
-        let report = RunReport {
+    ) -> QuarantineOutput {
+        let until = now + Self::SUSPECT_DURATION;
+        self.suspects.track_until(now, fingerprint, until);
+        let report = PendingRunReport {
             fingerprint,
             message: message.clone(),
             sent_at: now,
-            until,
+            resend_until: until,
         };
-        self.reports.insert(run, report);
+        self.pending_reports.insert(run, report);
         self.send_to_owner(now, fingerprint, message)
     }
 
-    fn resend_reports(&mut self, now: Duration, step: &mut QuarantineStep) {
-        self.reports.retain(|_, report| now < report.until);
-        for report in self.reports.values_mut() {
-            if now < report.sent_at + SuspectLedger::RESEND {
+    fn resend_reports(&mut self, now: Duration, output: &mut QuarantineOutput) {
+        self.pending_reports
+            .retain(|_, report| now < report.resend_until);
+        for report in self.pending_reports.values_mut() {
+            if now < report.sent_at + SuspectTable::RESEND_INTERVAL {
                 continue;
             }
             report.sent_at = now;
-            if let Some(owner) = self.ledger.owner(report.fingerprint) {
-                step.send(owner, report.message.clone());
+            if let Some(owner) = self.suspects.owner(report.fingerprint) {
+                output.send(owner, report.message.clone());
             }
         }
     }
@@ -252,99 +255,114 @@
         now: Duration,
         fingerprint: Fingerprint,
         message: QuarantineMessage,
-    ) -> QuarantineStep {
-        let mut step = QuarantineStep::default();
-        if let Some(owner) = self.ledger.owner(fingerprint) {
-            step.send(owner, message);
+    ) -> QuarantineOutput {
+        let mut output = QuarantineOutput::default();
+        if let Some(owner) = self.suspects.owner(fingerprint) {
+            output.send(owner, message);
         }
-        self.settle(now, step)
+        self.handle_own_messages(now, output)
     }
 
     /// Takes the messages of a step that are to this VM itself.
-    fn settle(&mut self, now: Duration, mut step: QuarantineStep) -> QuarantineStep {
-        let me = self.me.clone();
-        while let Some(at) = step.sends.iter().position(|send| send.to == me) {
-            let send = step.sends.remove(at);
-            self.take(now, &me, send.message, &mut step);
+    fn handle_own_messages(
+        &mut self,
+        now: Duration,
+        mut output: QuarantineOutput,
+    ) -> QuarantineOutput {
+        let own_id = self.own_id.clone();
+        while let Some(at) = output.messages.iter().position(|send| send.to == own_id) {
+            let send = output.messages.remove(at);
+            self.handle(now, &own_id, send.message, &mut output);
         }
-        step
+        output
     }
 
-    fn take(
+    fn handle(
         &mut self,
         now: Duration,
         from: &VmId,
         message: QuarantineMessage,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
         match message {
-            QuarantineMessage::Answer { permit, run } => self.take_answer(now, run, permit, step),
+            QuarantineMessage::Answer { permit, run } => {
+                self.handle_answer(now, run, permit, output)
+            }
             QuarantineMessage::Quarantined {
                 fingerprint,
                 remaining,
             } => {
                 let until = now + remaining;
-                self.ledger.remember(now, fingerprint, until).is_quarantined = true;
-                self.tell_owner(from, fingerprint, step);
+                self.suspects
+                    .track_until(now, fingerprint, until)
+                    .is_quarantined = true;
+                self.acknowledge(from, fingerprint, output);
             }
             QuarantineMessage::Recorded { run } => {
-                let report = self.reports.remove(&run);
-                step.recorded.extend(report.map(|_| run));
+                let report = self.pending_reports.remove(&run);
+                output.recorded_runs.extend(report.map(|_| run));
             }
             QuarantineMessage::Suspected {
                 fingerprint,
                 remaining,
             } => {
-                self.ledger.remember(now, fingerprint, now + remaining);
-                self.tell_owner(from, fingerprint, step);
+                self.suspects.track_until(now, fingerprint, now + remaining);
+                self.acknowledge(from, fingerprint, output);
             }
-            QuarantineMessage::Ask { .. }
+            QuarantineMessage::RequestPermit { .. }
             | QuarantineMessage::Crashed { .. }
             | QuarantineMessage::Ended { .. }
-            | QuarantineMessage::Told { .. } => self.take_as_owner(now, from, message, step),
+            | QuarantineMessage::Acknowledged { .. } => {
+                self.handle_as_owner(now, from, message, output)
+            }
         }
     }
 
-    fn take_answer(
+    fn handle_answer(
         &mut self,
         now: Duration,
         run: RunId,
         permit: RunPermit,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
-        let waiting = |ask: &&mut RunAsk| !ask.is_granted && now < ask.start_by;
-        let Some(ask) = self.asks.get_mut(&run).filter(waiting) else {
+        let waiting =
+            |request: &&mut PermitRequest| !request.is_granted && now < request.start_deadline;
+        let Some(request) = self.pending_permits.get_mut(&run).filter(waiting) else {
             return;
         };
-        let fingerprint = ask.fingerprint;
-        ask.is_granted = permit == RunPermit::Granted;
-        if !ask.is_granted {
-            self.asks.remove(&run);
+        let fingerprint = request.fingerprint;
+        request.is_granted = permit == RunPermit::Granted;
+        if !request.is_granted {
+            self.pending_permits.remove(&run);
         }
         if let RunPermit::Quarantined { remaining } = permit {
             let until = now + remaining;
-            self.ledger.remember(now, fingerprint, until).is_quarantined = true;
+            self.suspects
+                .track_until(now, fingerprint, until)
+                .is_quarantined = true;
         }
-        step.answers.push(PermitAnswer { permit, run });
+        output.permit_answers.push(PermitAnswer { permit, run });
     }
 
-    fn take_as_owner(
+    fn handle_as_owner(
         &mut self,
         now: Duration,
         from: &VmId,
         message: QuarantineMessage,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
         let vm = from.clone();
         match message {
-            QuarantineMessage::Ask {
+            QuarantineMessage::RequestPermit {
                 fingerprint,
                 limit,
                 run,
             } => {
-                let of = RunOf { run, vm };
-                let permit = self.ledger.answer(now, fingerprint, of, limit);
-                step.send(from, QuarantineMessage::Answer { permit, run });
+                let of = VmRun { run, vm };
+                let permit = self
+                    .suspects
+                    .answer_permit_request(now, fingerprint, of, limit);
+                output.send(from, QuarantineMessage::Answer { permit, run });
             }
             QuarantineMessage::Crashed {
                 fingerprint,
@@ -353,30 +371,34 @@
                 upstream,
             } => {
                 let runs_here = self.is_running(fingerprint);
-                let crash = CrashOf::new(is_running, RunOf { run, vm }, upstream);
-                self.ledger.count(now, fingerprint, crash, runs_here, step);
+                let crash = CrashReport::new(is_running, VmRun { run, vm }, upstream);
+                self.suspects
+                    .count_crash(now, fingerprint, crash, runs_here, output);
             }
             QuarantineMessage::Ended {
                 fingerprint,
                 is_running,
                 run,
             } => {
-                self.ledger.end(fingerprint, &RunOf { run, vm }, is_running);
-                step.send(from, QuarantineMessage::Recorded { run });
+                self.suspects
+                    .end_run(fingerprint, &VmRun { run, vm }, is_running);
+                output.send(from, QuarantineMessage::Recorded { run });
             }
-            QuarantineMessage::Told {
+            QuarantineMessage::Acknowledged {
                 fingerprint,
                 is_running,
-            } => self.ledger.hear(now, fingerprint, from, is_running, step),
+            } => self
+                .suspects
+                .handle_acknowledgement(now, fingerprint, from, is_running, output),
             _ => {}
         }
     }
 
-    fn tell_owner(&self, owner: &VmId, fingerprint: Fingerprint, step: &mut QuarantineStep) {
-        let message = QuarantineMessage::Told {
+    fn acknowledge(&self, owner: &VmId, fingerprint: Fingerprint, output: &mut QuarantineOutput) {
+        let message = QuarantineMessage::Acknowledged {
             fingerprint,
             is_running: self.is_running(fingerprint),
         };
-        step.send(owner, message);
+        output.send(owner, message);
     }
 }
--- a/crates/ebonystand-core/src/queue_outcome.rs
+++ b/crates/ebonystand-core/src/queue_outcome.rs
@@ -6,12 +6,12 @@
     /// It waits.
     Queued,
     /// It waits, and an entry of the workspace with the longest backlog was shed for it.
-    QueuedFor {
+    QueuedAfterShedding {
         /// The entry that was shed; its caller gets [`FairQueue::refusal`].
         shed: QueueEntry,
     },
     /// It may be dispatched at once.
-    Runs,
+    Started,
     /// It is not queued.
     Shed {
         /// Final answer to the caller.
--- a/crates/ebonystand-core/src/refusal.rs
+++ b/crates/ebonystand-core/src/refusal.rs
@@ -30,7 +30,7 @@
 
     /// Refusal of a request that may have run.
     #[must_use]
-    pub fn unknown(code: RefusalCode, message: impl Into<Box<str>>) -> Self {
+    pub fn possibly_run(code: RefusalCode, message: impl Into<Box<str>>) -> Self {
         Self {
             code,
             message: message.into(),
--- a/crates/ebonystand-core/src/region_contact.rs
+++ b/crates/ebonystand-core/src/region_contact.rs
@@ -12,7 +12,7 @@
 impl RegionContact {
     /// Encoded length in bytes, at most.
     pub(crate) fn weight(&self) -> usize {
-        text_weight(&self.region) + varint_weight(self.age_ms)
+        text_encoded_len(&self.region) + varint_encoded_len(self.age_ms)
     }
 }
 
--- a/crates/ebonystand-core/src/rendezvous.rs
+++ b/crates/ebonystand-core/src/rendezvous_hash.rs
@@ -1,18 +1,18 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rendezvous (highest random weight) hashing: VMs with equal lists agree without a message,
+/// RendezvousHash (highest random weight) hashing: VMs with equal lists agree without a message,
 /// and a VM that comes or goes moves only its own part of the keys.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rendezvous {
+pub(crate) struct RendezvousHash {
     key: u64,
 }
 
-impl Rendezvous {
+impl RendezvousHash {
     pub(crate) fn new(key: u64) -> Self {
         Self { key }
     }
 
-    pub(crate) fn owner<'a, T: AsRef<str>>(
+    pub(crate) fn select_owner<'a, T: AsRef<str>>(
         self,
         names: impl IntoIterator<Item = &'a T>,
     ) -> Option<&'a T> {
--- a/crates/ebonystand-core/src/route.rs
+++ b/crates/ebonystand-core/src/route.rs
@@ -6,8 +6,8 @@
     /// Where the upstream listens.
     pub address: SocketAddr,
     /// The best of the upstreams that were weighed, best first; at most
-    /// [`Route::LOGGED_CANDIDATES`].
-    pub candidates: Vec<Candidate>,
+    /// [`Route::MAX_LOGGED_CANDIDATES`].
+    pub candidates: Vec<RouteCandidate>,
     /// Cost of a thousand tokens or of a call there.
     pub cost: u64,
     /// Predicted time to first token.
@@ -24,7 +24,7 @@
 
 impl Route {
     /// Candidates that a decision names.
-    pub const LOGGED_CANDIDATES: usize = 4;
+    pub const MAX_LOGGED_CANDIDATES: usize = 4;
 }
 
 impl std::fmt::Display for Route {
--- a/crates/ebonystand-core/src/route_refusal.rs
+++ b/crates/ebonystand-core/src/route_refusal.rs
@@ -6,7 +6,7 @@
     #[snafu(display("the deadline has passed"))]
     DeadlinePassed,
     #[snafu(display("no upstream that may serve {target} is up"))]
-    NoneUp {
+    NoneAvailable {
         /// When one of them gets requests again, if that is known.
         reopens_in: Option<Duration>,
         target: Target,
@@ -17,23 +17,23 @@
         beyond: Duration,
     },
     #[snafu(display("no upstream serves {target}"))]
-    Unknown { target: Target },
+    UnknownTarget { target: Target },
 }
 
 impl RouteRefusal {
     /// Longest time that a caller is told to stay away.
-    const LONGEST: Duration = Duration::from_secs(30);
+    const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
     /// Shortest time that a caller is told to stay away.
-    const SHORTEST: Duration = Duration::from_millis(100);
+    const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
     /// Time that a caller is told to stay away when nothing is known.
-    const USUAL: Duration = Duration::from_secs(1);
+    const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
     fn code(&self) -> RefusalCode {
         match self {
             Self::DeadlinePassed => RefusalCode::Deadline,
-            Self::NoneUp { .. } => RefusalCode::NoUpstream,
+            Self::NoneAvailable { .. } => RefusalCode::NoUpstream,
             Self::Overloaded { .. } => RefusalCode::Overloaded,
-            Self::Unknown { target } => match target {
+            Self::UnknownTarget { target } => match target {
                 Target::Model(_) => RefusalCode::UnknownModel,
                 Target::Service(_) => RefusalCode::NoUpstream,
             },
@@ -42,11 +42,13 @@
 
     fn retry_after(&self) -> Option<Duration> {
         let delay = match self {
-            Self::DeadlinePassed | Self::Unknown { .. } => return None,
-            Self::NoneUp { reopens_in, .. } => reopens_in.unwrap_or(Self::USUAL),
+            Self::DeadlinePassed | Self::UnknownTarget { .. } => return None,
+            Self::NoneAvailable { reopens_in, .. } => {
+                reopens_in.unwrap_or(Self::DEFAULT_RETRY_AFTER)
+            }
             Self::Overloaded { beyond } => *beyond,
         };
-        Some(delay.clamp(Self::SHORTEST, Self::LONGEST))
+        Some(delay.clamp(Self::MIN_RETRY_AFTER, Self::MAX_RETRY_AFTER))
     }
 }
 
--- a/crates/ebonystand-core/src/router.rs
+++ b/crates/ebonystand-core/src/router.rs
@@ -12,14 +12,14 @@
 /// [`Self::started`] first and [`Self::finished`] once for each start.
 #[derive(Clone, Debug)]
 pub struct Router {
-    fleet: Fleet,
-    here: Place,
-    hints: PrefixHints,
+    upstreams: UpstreamIndex,
+    own_place: Place,
+    prefix_hints: PrefixHints,
     links: LinkBudgets,
-    picks: Vec<Pick>,
+    candidates: Vec<ScoredUpstream>,
     preset: Preset,
     rng: Pcg64Mcg,
-    share: FleetShare,
+    fleet_load_factor: FleetShare,
     version: Option<Version>,
 }
 
@@ -27,37 +27,37 @@
     /// Bytes that a generated token or its share of the prompt takes on a link.
     const BYTES_PER_TOKEN: u64 = 128;
     /// Dispatches that a VM may have under way however small its share is.
-    const FEWEST_SLOTS: u32 = 4;
+    const MIN_SLOTS: u32 = 4;
     /// Largest random part of a score, as a multiple of the request's time on an idle upstream.
-    const JITTER: f64 = 2.0;
+    const MAX_JITTER_FACTOR: f64 = 2.0;
     /// Part of its share of the batches that a VM may use: what others leave is not lost.
-    const SLOTS_HEADROOM: f64 = 1.25;
+    const SLOTS_HEADROOM_FACTOR: f64 = 1.25;
     /// Predicted delay to another availability zone of the region, in milliseconds.
-    const ZONE_DELAY_MS: f64 = 1.0;
+    const CROSS_ZONE_DELAY_MS: f64 = 1.0;
 
     /// Router of a VM that stands at `here`; it refuses everything until it is configured.
     #[must_use]
-    pub fn new(here: Place, seed: u64) -> Self {
+    pub fn new(own_place: Place, seed: u64) -> Self {
         Self {
-            fleet: Fleet::default(),
-            here,
-            hints: PrefixHints::default(),
+            upstreams: UpstreamIndex::default(),
+            own_place,
+            prefix_hints: PrefixHints::default(),
             links: LinkBudgets::default(),
-            picks: Vec::new(),
+            candidates: Vec::new(),
             preset: Preset::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            share: FleetShare::default(),
+            fleet_load_factor: FleetShare::default(),
             version: None,
         }
     }
 
     /// Takes an event of an engine's prefix cache. A gap drops all hints to the engine: what
     /// it evicted meanwhile is not known, and a wrong hint would cost a cold prefill.
-    pub fn cache_event(&mut self, upstream: &str, event: CacheEvent) {
-        let Some(index) = self.fleet.find(upstream) else {
+    pub fn handle_cache_event(&mut self, upstream: &str, event: CacheEvent) {
+        let Some(index) = self.upstreams.find_index(upstream) else {
             return;
         };
-        let state = self.fleet.get_mut(index);
+        let state = self.upstreams.get_mut(index);
         if event.sequence <= state.cache_sequence {
             return;
         }
@@ -67,8 +67,10 @@
         state.cache_sequence = event.sequence;
         let generation = state.generation;
         match event.change {
-            CacheChange::Evicted => self.hints.forget(event.prefix_key, index),
-            CacheChange::Stored => self.hints.put(event.prefix_key, index, generation),
+            CacheChange::Evicted => self.prefix_hints.remove(event.prefix_key, index),
+            CacheChange::Stored => self
+                .prefix_hints
+                .insert(event.prefix_key, index, generation),
         }
     }
 
@@ -81,42 +83,45 @@
             return;
         }
         let warm = self.version.is_none();
-        self.fleet.configure(now, &self.here, document, warm);
+        self.upstreams
+            .configure(now, &self.own_place, document, warm);
         self.preset = document.preset().clone();
         self.version = Some(document.version);
-        self.links.configure(now, &self.here, document);
+        self.links.configure(now, &self.own_place, document);
     }
 
     /// Whether a request may still be sent to an upstream that was chosen earlier. To be asked
     /// right before a dispatch that has waited: the configuration may have changed since.
     #[must_use]
-    pub fn confirm(&self, now: Duration, query: &RouteQuery, upstream: &str) -> bool {
-        let Some(index) = self.fleet.find(upstream) else {
+    pub fn can_dispatch(&self, now: Duration, query: &RouteQuery, upstream: &str) -> bool {
+        let Some(index) = self.upstreams.find_index(upstream) else {
             return false;
         };
-        let state = self.fleet.get(index);
-        self.fleet.serves(index, query.target)
-            && state.admits(now, query.excluded)
-            && query.residency.contains(self.fleet.region(state.region))
+        let state = self.upstreams.get(index);
+        self.upstreams.is_serving(index, query.target)
+            && state.allows_dispatch(now, query.excluded)
+            && query
+                .residency
+                .contains(self.upstreams.region(state.region))
     }
 
     /// Notes the end of a dispatch.
-    pub fn finished(&mut self, now: Duration, upstream: &str, end: DispatchEnd) {
-        let Some(index) = self.fleet.find(upstream) else {
+    pub fn record_dispatch_end(&mut self, now: Duration, upstream: &str, end: DispatchEnd) {
+        let Some(index) = self.upstreams.find_index(upstream) else {
             return;
         };
-        let state = self.fleet.get_mut(index);
-        state.load.ended();
+        let state = self.upstreams.get_mut(index);
+        state.load.record_end();
         if let DispatchEnd::Answered { first_token } = end {
-            state.load.answered(now, first_token);
+            state.load.record_answer(now, first_token);
         }
-        if state.circuit.ended(now, end) {
-            state.became_cold(now);
+        if state.circuit.record_end(now, end) {
+            state.mark_cold(now);
         }
     }
 
     /// Budget of the link to another region, for what is sent beside requests.
-    pub fn link(&mut self, region: &str) -> Option<&mut LinkBudget> {
+    pub fn link_budget_mut(&mut self, region: &str) -> Option<&mut LinkBudget> {
         self.links.find_mut(region)
     }
 
@@ -127,16 +132,17 @@
     }
 
     /// Takes a load report; it counts from the time it was measured.
-    pub fn report(&mut self, now: Duration, upstream: &str, report: LoadReport) {
-        let Some(index) = self.fleet.find(upstream) else {
+    pub fn record_load_report(&mut self, now: Duration, upstream: &str, report: LoadReport) {
+        let Some(index) = self.upstreams.find_index(upstream) else {
             return;
         };
-        let state = self.fleet.get_mut(index);
-        if state.load.report(now, report) {
-            state.became_cold(now);
+        let state = self.upstreams.get_mut(index);
+        if state.load.record_report(now, report) {
+            state.mark_cold(now);
         }
         let own = state.load.in_flight();
-        self.share.observe(own, state.load.requests());
+        self.fleet_load_factor
+            .observe(own, state.load.reported_requests());
     }
 
     /// Chooses an upstream.
@@ -150,30 +156,32 @@
         if query.deadline.is_zero() {
             return Err(RouteRefusal::DeadlinePassed.into());
         }
-        let limit = self.limit(query);
-        let mut picks = std::mem::take(&mut self.picks);
-        picks.clear();
-        self.sample(now, query, &mut picks);
-        let mut chosen = self.choose(&picks, limit);
-        if chosen.is_none_or(|pick| pick.cautious > limit) {
-            self.scan(now, query, &mut picks);
-            chosen = self.choose(&picks, limit);
+        let limit_ms = self.max_first_token_ms(query);
+        let mut candidates = std::mem::take(&mut self.candidates);
+        candidates.clear();
+        self.score_sample(now, query, &mut candidates);
+        let mut chosen = self.choose(&candidates, limit_ms);
+        if chosen.is_none_or(|candidate| candidate.cautious_ms > limit_ms) {
+            self.score_scan(now, query, &mut candidates);
+            chosen = self.choose(&candidates, limit_ms);
         }
         let route = match chosen {
-            Some(pick) if pick.cautious <= limit => Ok(self.decided(query, &pick, &mut picks)),
-            Some(pick) => Err(RouteRefusal::Overloaded {
-                beyond: millis(pick.cautious - limit),
+            Some(candidate) if candidate.cautious_ms <= limit_ms => {
+                Ok(self.build_route(query, &candidate, &mut candidates))
+            }
+            Some(candidate) => Err(RouteRefusal::Overloaded {
+                beyond: millis(candidate.cautious_ms - limit_ms),
             }
             .into()),
-            None => Err(self.unserved(now, query).into()),
+            None => Err(self.no_upstream_refusal(now, query).into()),
         };
-        self.picks = picks;
+        self.candidates = candidates;
         route
     }
 
     /// Tells how many VMs of the region share its links; a budget counts from the next document
     /// on.
-    pub fn share_links(&mut self, vms: u32) {
+    pub fn set_sharing_vms(&mut self, vms: u32) {
         self.links.share(vms);
     }
 
@@ -181,116 +189,129 @@
     /// batches of the own region's upstreams, or of all if the region has none, and a quarter
     /// more. For [`FairQueue::set_slots`], about once a second: looks at each of these upstreams.
     #[must_use]
-    pub fn slots(&self, now: Duration, target: &Target) -> u32 {
-        let groups = self.fleet.groups(target).unwrap_or_default();
-        let local = groups.iter().filter(|group| self.fleet.is_own(group));
-        let slots = |group: &UpstreamGroup| self.group_slots(now, group);
+    pub fn dispatch_slots(&self, now: Duration, target: &Target) -> u32 {
+        let groups = self.upstreams.groups(target).unwrap_or_default();
+        let local = groups
+            .iter()
+            .filter(|group| self.upstreams.is_in_own_region(group));
+        let slots = |group: &UpstreamGroup| self.available_slots(now, group);
         let slots = match local.map(slots).sum::<f64>() {
             0.0 => groups.iter().map(slots).sum::<f64>(),
             local => local,
         };
-        let share = slots * Self::SLOTS_HEADROOM / self.share.factor();
-        (share.ceil() as u32).max(Self::FEWEST_SLOTS)
+        let share = slots * Self::SLOTS_HEADROOM_FACTOR / self.fleet_load_factor.factor();
+        (share.ceil() as u32).max(Self::MIN_SLOTS)
     }
 
     /// Notes a dispatch, right before its first byte is sent. `work` is that of the route.
-    pub fn started(&mut self, now: Duration, upstream: &str, work: Tokens) {
-        let Some(index) = self.fleet.find(upstream) else {
+    pub fn record_dispatch(&mut self, now: Duration, upstream: &str, work: Tokens) {
+        let Some(index) = self.upstreams.find_index(upstream) else {
             return;
         };
-        let state = self.fleet.get_mut(index);
-        state.circuit.started();
-        state.load.started(now, work);
+        let state = self.upstreams.get_mut(index);
+        state.circuit.record_dispatch();
+        state.load.record_dispatch(now, work);
         let region = state.region;
         if let Some(link) = self.links.get_mut(region) {
             link.charge(now, work * Self::BYTES_PER_TOKEN);
         }
     }
 
-    fn choose(&self, picks: &[Pick], limit: f64) -> Option<Pick> {
-        let chosen = Pick::choose(picks, self.preset.send_away_gain_ms as f64)?;
-        if chosen.cautious <= limit {
+    fn choose(&self, candidates: &[ScoredUpstream], limit_ms: f64) -> Option<ScoredUpstream> {
+        let chosen = ScoredUpstream::choose(candidates, self.preset.send_away_gain_ms as f64)?;
+        if chosen.cautious_ms <= limit_ms {
             return Some(chosen);
         }
-        let fastest = picks
+        let fastest = candidates
             .iter()
-            .min_by(|a, b| a.cautious.total_cmp(&b.cautious))?;
+            .min_by(|a, b| a.cautious_ms.total_cmp(&b.cautious_ms))?;
         let reason = match fastest.is_local {
             true => fastest.reason,
             false => RouteReason::SentAway,
         };
-        Some(Pick { reason, ..*fastest })
+        Some(ScoredUpstream { reason, ..*fastest })
     }
 
-    fn decided(&mut self, query: &RouteQuery, chosen: &Pick, picks: &mut Vec<Pick>) -> Route {
-        picks.sort_by(|a, b| a.score().total_cmp(&b.score()));
-        picks.dedup_by_key(|pick| pick.index);
-        let candidates = picks
+    fn build_route(
+        &mut self,
+        query: &RouteQuery,
+        chosen: &ScoredUpstream,
+        candidates: &mut Vec<ScoredUpstream>,
+    ) -> Route {
+        candidates.sort_by(|a, b| a.score_ms().total_cmp(&b.score_ms()));
+        candidates.dedup_by_key(|candidate| candidate.index);
+        let candidates = candidates
             .iter()
-            .take(Route::LOGGED_CANDIDATES)
-            .map(|pick| self.candidate(pick))
+            .take(Route::MAX_LOGGED_CANDIDATES)
+            .map(|candidate| self.log_candidate(candidate))
             .collect();
-        let state = self.fleet.get(chosen.index);
+        let state = self.upstreams.get(chosen.index);
         if query.prefix_tokens > 0 {
             let key = Self::prefix_key(query);
-            self.hints.put(key, chosen.index, state.generation);
+            self.prefix_hints
+                .insert(key, chosen.index, state.generation);
         }
         Route {
             address: state.address,
             candidates,
             cost: state.cost,
-            predicted: millis(chosen.predicted),
+            predicted: millis(chosen.predicted_ms),
             reason: chosen.reason,
-            region: self.fleet.region(state.region).clone(),
+            region: self.upstreams.region(state.region).clone(),
             upstream: state.id.clone(),
             work: query.work(),
         }
     }
 
-    fn candidate(&self, pick: &Pick) -> Candidate {
-        Candidate {
-            predicted: millis(pick.predicted),
-            score: millis(pick.score()),
-            upstream: self.fleet.get(pick.index).id.clone(),
+    fn log_candidate(&self, candidate: &ScoredUpstream) -> RouteCandidate {
+        RouteCandidate {
+            predicted: millis(candidate.predicted_ms),
+            score: millis(candidate.score_ms()),
+            upstream: self.upstreams.get(candidate.index).id.clone(),
         }
     }
 
     /// Batch places of a group's upstreams that are up, cold ones in part.
-    fn group_slots(&self, now: Duration, group: &UpstreamGroup) -> f64 {
+    fn available_slots(&self, now: Duration, group: &UpstreamGroup) -> f64 {
         let slow_start = Duration::from_millis(self.preset.slow_start_ms);
-        let states = group.members.iter().map(|index| self.fleet.get(*index));
+        let states = group.members.iter().map(|index| self.upstreams.get(*index));
         states
-            .filter(|state| state.circuit.admits(now))
-            .map(|state| f64::from(state.load.slots()) * state.ramp(now, slow_start))
+            .filter(|state| state.circuit.allows_dispatch(now))
+            .map(|state| f64::from(state.load.slots()) * state.slow_start_factor(now, slow_start))
             .sum()
     }
 
     /// The upstream that is likely to have the query's prefix cached.
-    fn hinted(&self, query: &RouteQuery) -> Option<u32> {
+    fn hinted_upstream(&self, query: &RouteQuery) -> Option<u32> {
         if query.prefix_tokens == 0 {
             return None;
         }
-        let (index, generation) = self.hints.get(Self::prefix_key(query))?;
-        let state = self.fleet.get(index);
-        let region = self.fleet.region(state.region);
+        let (index, generation) = self.prefix_hints.get(Self::prefix_key(query))?;
+        let state = self.upstreams.get(index);
+        let region = self.upstreams.region(state.region);
         let counts = state.generation == generation
             && query.residency.contains(region)
-            && self.fleet.serves(index, query.target);
+            && self.upstreams.is_serving(index, query.target);
         counts.then_some(index)
     }
 
     /// Predicted time to first token above which a request is shed, in milliseconds.
-    fn limit(&self, query: &RouteQuery) -> f64 {
+    fn max_first_token_ms(&self, query: &RouteQuery) -> f64 {
         let deadline = query.deadline.as_secs_f64() * 1_000.0;
         deadline.min(self.preset.shed_above_ms as f64)
     }
 
     /// Time in milliseconds that the link adds to the first token; none if the upstream's region
     /// is not of the document.
-    fn link_time(&self, now: Duration, query: &RouteQuery, state: &UpstreamState) -> Option<f64> {
+    fn link_delay_ms(
+        &self,
+        now: Duration,
+        query: &RouteQuery,
+        state: &UpstreamState,
+    ) -> Option<f64> {
         if state.is_in_own_region {
             let zone = if state.is_in_own_zone { 0.0 } else { 1.0 };
-            return Some(zone * Self::ZONE_DELAY_MS);
+            return Some(zone * Self::CROSS_ZONE_DELAY_MS);
         }
         let link = self.links.get(state.region)?;
         let bytes = query.work() * Self::BYTES_PER_TOKEN;
@@ -299,97 +320,111 @@
     }
 
     /// Weighs one upstream; none if it may not get the request.
-    fn pick(
+    fn score_upstream(
         &self,
         now: Duration,
         query: &RouteQuery,
         index: u32,
         reason: RouteReason,
-    ) -> Option<Pick> {
-        let state = self.fleet.get(index);
-        if !state.admits(now, query.excluded) {
+    ) -> Option<ScoredUpstream> {
+        let state = self.upstreams.get(index);
+        if !state.allows_dispatch(now, query.excluded) {
             return None;
         }
         let slow_start = Duration::from_millis(self.preset.slow_start_ms);
-        let speed = state.speed as f64 * state.ramp(now, slow_start);
+        let speed = state.speed as f64 * state.slow_start_factor(now, slow_start);
         let cached = match reason {
             RouteReason::Affinity => query.prefix_tokens.min(query.prompt_tokens),
             _ => 0,
         };
         let prompt = (query.prompt_tokens - cached) as f64 / RouteQuery::PREFILL_SPEEDUP as f64;
         let alone = (prompt + 1.0) / speed;
-        let link = self.link_time(now, query, state)?;
-        let expected = state.load.expected_s(now);
+        let link = self.link_delay_ms(now, query, state)?;
+        let expected = state.load.min_first_token_s(now);
         let time = |factor| {
-            let waiting = state.load.ahead(now, state.speed as f64, factor) / speed;
+            let waiting = state.load.work_ahead(now, state.speed as f64, factor) / speed;
             let sharing = alone * state.load.occupancy(factor);
             (alone + waiting + sharing).max(expected) * 1_000.0 + link
         };
-        Some(Pick {
-            cautious: time(self.share.cautious()),
-            cost: (self.preset.cost_weight_ms * state.cost) as f64,
+        Some(ScoredUpstream {
+            cautious_ms: time(self.fleet_load_factor.cautious()),
+            cost_ms: (self.preset.cost_weight_ms * state.cost) as f64,
             index,
             is_local: state.is_in_own_region,
-            jitter: match reason {
+            jitter_ms: match reason {
                 RouteReason::Affinity => 0.0,
-                _ => Self::JITTER * alone * 1_000.0,
+                _ => Self::MAX_JITTER_FACTOR * alone * 1_000.0,
             },
-            predicted: time(self.share.factor()),
+            predicted_ms: time(self.fleet_load_factor.factor()),
             reason,
         })
     }
 
     /// Weighs a few upstreams of each region that may serve the request.
-    fn sample(&mut self, now: Duration, query: &RouteQuery, picks: &mut Vec<Pick>) {
-        let hinted = self.hinted(query);
-        picks.extend(hinted.and_then(|index| self.pick(now, query, index, RouteReason::Affinity)));
+    fn score_sample(
+        &mut self,
+        now: Duration,
+        query: &RouteQuery,
+        candidates: &mut Vec<ScoredUpstream>,
+    ) {
+        let hinted_upstream = self.hinted_upstream(query);
+        candidates.extend(
+            hinted_upstream
+                .and_then(|index| self.score_upstream(now, query, index, RouteReason::Affinity)),
+        );
         let mut rng = self.rng.clone();
         let mut best = Vec::new();
-        let from = rng.random_range(0..self.fleet.regions().len().max(1));
-        let is_whole = self.fleet.regions().len() <= Fleet::SAMPLED;
-        for group in self.fleet.sampled(query, from) {
-            let first = picks.len();
+        let from = rng.random_range(0..self.upstreams.regions().len().max(1));
+        let is_whole = self.upstreams.regions().len() <= UpstreamIndex::MAX_SAMPLED_REGIONS;
+        for group in self.upstreams.sampled_groups(query, from) {
+            let first = candidates.len();
             group.sample(&mut rng, is_whole, |index, reason| {
-                picks.extend(self.pick(now, query, index, reason));
+                candidates.extend(self.score_upstream(now, query, index, reason));
             });
-            for pick in &mut picks[first..] {
-                pick.jitter *= rng.random::<f64>();
+            for candidate in &mut candidates[first..] {
+                candidate.jitter_ms *= rng.random::<f64>();
             }
-            let found = Pick::best(picks[first..].iter()).map(|pick| pick.index);
+            let found =
+                ScoredUpstream::best(candidates[first..].iter()).map(|candidate| candidate.index);
             best.push((group.region, found));
         }
         self.rng = rng;
-        let groups = self.fleet.groups_mut(query.target);
+        let groups = self.upstreams.groups_mut(query.target);
         for group in groups {
             let found = best.iter().find(|(region, _)| *region == group.region);
-            group.best = found.map_or(group.best, |(_, best)| *best);
+            group.best_known = found.map_or(group.best_known, |(_, best)| *best);
         }
     }
 
     /// Weighs more upstreams before a request is refused.
-    fn scan(&mut self, now: Duration, query: &RouteQuery, picks: &mut Vec<Pick>) {
+    fn score_scan(
+        &mut self,
+        now: Duration,
+        query: &RouteQuery,
+        candidates: &mut Vec<ScoredUpstream>,
+    ) {
         let mut rng = self.rng.clone();
-        for group in self.fleet.allowed(query) {
+        for group in self.upstreams.allowed_groups(query) {
             group.scan(&mut rng, |index| {
-                picks.extend(self.pick(now, query, index, RouteReason::Sampled));
+                candidates.extend(self.score_upstream(now, query, index, RouteReason::Sampled));
             });
         }
         self.rng = rng;
     }
 
     /// Refusal of a request that no upstream can take.
-    fn unserved(&mut self, now: Duration, query: &RouteQuery) -> RouteRefusal {
+    fn no_upstream_refusal(&mut self, now: Duration, query: &RouteQuery) -> RouteRefusal {
         let target = query.target.clone();
-        let Some(groups) = self.fleet.groups(query.target) else {
-            return RouteRefusal::Unknown { target };
+        let Some(groups) = self.upstreams.groups(query.target) else {
+            return RouteRefusal::UnknownTarget { target };
         };
         let reopens_in = groups
             .iter()
-            .flat_map(|group| group.members.iter().take(UpstreamGroup::SCANNED))
-            .map(|&index| self.fleet.get(index).circuit.reopens_in(now))
+            .flat_map(|group| group.members.iter().take(UpstreamGroup::MAX_SCANNED))
+            .map(|&index| self.upstreams.get(index).circuit.time_until_probe(now))
             .filter(|delay| !delay.is_zero())
             .min();
-        RouteRefusal::NoneUp { reopens_in, target }
+        RouteRefusal::NoneAvailable { reopens_in, target }
     }
 }
 
--- a/crates/ebonystand-core/src/suspect.rs
+++ b/crates/ebonystand-core/src/suspect.rs
@@ -5,93 +5,93 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Suspect {
     /// Crash reports that were counted, so that a repeated one is not.
-    counted: BTreeSet<RunOf>,
+    counted_runs: BTreeSet<VmRun>,
     crashes: u32,
-    pub(crate) grant: Option<Grant>,
+    pub(crate) grant: Option<RunGrant>,
     /// No grant before this time: a previous owner's grant may be in use.
     pub(crate) handover_until: Duration,
     /// No grant before all VMs know or this time; then those missing count as unreachable.
-    pub(crate) heard_by: Duration,
+    pub(crate) ack_deadline: Duration,
     pub(crate) is_quarantined: bool,
-    last: Option<(UpstreamId, Duration)>,
+    last_crash: Option<(UpstreamId, Duration)>,
     /// Reports to be confirmed when all VMs know.
-    pub(crate) reports: Vec<RunOf>,
+    pub(crate) pending_reports: Vec<VmRun>,
     /// VMs that run it without a grant.
-    pub(crate) running: BTreeSet<VmId>,
+    pub(crate) running_vms: BTreeSet<VmId>,
     /// No grant before those runs have ended or this time.
-    pub(crate) running_by: Duration,
+    pub(crate) running_deadline: Duration,
     /// When the VMs were last told.
-    pub(crate) told_at: Duration,
+    pub(crate) announced_at: Duration,
     /// VMs that have not said that they know.
-    pub(crate) unheard: BTreeSet<VmId>,
-    pub(crate) until: Duration,
+    pub(crate) unacked_vms: BTreeSet<VmId>,
+    pub(crate) expires_at: Duration,
 }
 
 /// The owner's one grant of a suspect.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct Grant {
+pub(crate) struct RunGrant {
     pub(crate) expires: Duration,
-    pub(crate) run: RunOf,
+    pub(crate) run: VmRun,
 }
 
 /// A run on some VM.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(crate) struct RunOf {
+pub(crate) struct VmRun {
     pub(crate) run: RunId,
     pub(crate) vm: VmId,
 }
 
 /// Report that a run's upstream went down.
 #[derive(Clone, Constructor, Debug)]
-pub(crate) struct CrashOf {
+pub(crate) struct CrashReport {
     /// Other runs of the request are under way on the reporter.
     pub(crate) is_running: bool,
-    pub(crate) run: RunOf,
+    pub(crate) run: VmRun,
     pub(crate) upstream: UpstreamId,
 }
 
 impl Suspect {
     /// Crashes that quarantine a request.
-    const CRASHES: u32 = 2;
+    const QUARANTINE_THRESHOLD: u32 = 2;
     /// Reports about one upstream within this time are about one crash, unless the run was
     /// granted: that one started after the crash before it.
-    const SAME_CRASH: Duration = Duration::from_secs(5);
+    const SAME_CRASH_WINDOW: Duration = Duration::from_secs(5);
 
-    pub(crate) fn new(until: Duration) -> Self {
+    pub(crate) fn new(expires_at: Duration) -> Self {
         Self {
-            counted: BTreeSet::new(),
+            counted_runs: BTreeSet::new(),
             crashes: 0,
             grant: None,
             handover_until: Duration::ZERO,
-            heard_by: Duration::ZERO,
+            ack_deadline: Duration::ZERO,
             is_quarantined: false,
-            last: None,
-            reports: Vec::new(),
-            running: BTreeSet::new(),
-            running_by: Duration::ZERO,
-            told_at: Duration::ZERO,
-            unheard: BTreeSet::new(),
-            until,
+            last_crash: None,
+            pending_reports: Vec::new(),
+            running_vms: BTreeSet::new(),
+            running_deadline: Duration::ZERO,
+            announced_at: Duration::ZERO,
+            unacked_vms: BTreeSet::new(),
+            expires_at,
         }
     }
 
     /// Counts a crash report once.
-    pub(crate) fn count(&mut self, now: Duration, run: &RunOf, upstream: &UpstreamId) {
-        if !self.counted.insert(run.clone()) {
+    pub(crate) fn record_crash(&mut self, now: Duration, run: &VmRun, upstream: &UpstreamId) {
+        if !self.counted_runs.insert(run.clone()) {
             return;
         }
-        let was_granted = self.end_grant(run);
-        let is_same = self.last.as_ref().is_some_and(|(last, at)| {
-            last == upstream && now.saturating_sub(*at) < Self::SAME_CRASH
+        let was_granted = self.release_grant(run);
+        let is_same = self.last_crash.as_ref().is_some_and(|(last_crash, at)| {
+            last_crash == upstream && now.saturating_sub(*at) < Self::SAME_CRASH_WINDOW
         });
         if was_granted || !is_same {
             self.add_crash(now);
         }
-        self.last = Some((upstream.clone(), now));
+        self.last_crash = Some((upstream.clone(), now));
     }
 
     /// Ends the grant if it is that run's.
-    pub(crate) fn end_grant(&mut self, run: &RunOf) -> bool {
+    pub(crate) fn release_grant(&mut self, run: &VmRun) -> bool {
         let was_granted = self.grant.as_ref().is_some_and(|grant| grant.run == *run);
         if was_granted {
             self.grant = None;
@@ -113,36 +113,36 @@
     }
 
     /// Whether a VM may be granted the next run.
-    pub(crate) fn is_free(&self, now: Duration) -> bool {
+    pub(crate) fn can_grant(&self, now: Duration) -> bool {
         self.grant.is_none()
             && now >= self.handover_until
-            && self.is_known(now)
-            && (self.running.is_empty() || now >= self.running_by)
+            && self.is_known_everywhere(now)
+            && (self.running_vms.is_empty() || now >= self.running_deadline)
     }
 
     /// Whether all VMs that can be reached know of it.
-    pub(crate) fn is_known(&self, now: Duration) -> bool {
-        self.unheard.is_empty() || now >= self.heard_by
+    pub(crate) fn is_known_everywhere(&self, now: Duration) -> bool {
+        self.unacked_vms.is_empty() || now >= self.ack_deadline
     }
 
     /// Whether there is something to send again.
-    pub(crate) fn is_unsettled(&self) -> bool {
-        !self.unheard.is_empty() || !self.reports.is_empty()
+    pub(crate) fn has_unacked_messages(&self) -> bool {
+        !self.unacked_vms.is_empty() || !self.pending_reports.is_empty()
     }
 
     pub(crate) fn set_running(&mut self, vm: &VmId, is_running: bool) {
         if is_running {
-            self.running.insert(vm.clone());
+            self.running_vms.insert(vm.clone());
         } else {
-            self.running.remove(vm);
+            self.running_vms.remove(vm);
         }
     }
 
     fn add_crash(&mut self, now: Duration) {
         self.crashes += 1;
-        if self.crashes >= Self::CRASHES {
+        if self.crashes >= Self::QUARANTINE_THRESHOLD {
             self.is_quarantined = true;
-            self.until = now + Quarantine::QUARANTINED_FOR;
+            self.expires_at = now + Quarantine::QUARANTINE_DURATION;
         }
     }
 }
--- a/crates/ebonystand-core/src/suspect_ledger.rs
+++ b/crates/ebonystand-core/src/suspect_table.rs
@@ -2,113 +2,113 @@
 
 /// Bounded table of the [`Suspect`]s that a VM knows, with what the owner of a suspect decides.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct SuspectLedger {
-    live: BTreeSet<VmId>,
-    me: VmId,
+pub(crate) struct SuspectTable {
+    live_vms: BTreeSet<VmId>,
+    own_id: VmId,
     suspects: BTreeMap<Fingerprint, Suspect>,
 }
 
-impl SuspectLedger {
+impl SuspectTable {
     /// Longest run that an owner waits for when it takes over from another.
-    const LONGEST_RUN: Duration = Duration::from_secs(120);
+    const MAX_RUN_DURATION: Duration = Duration::from_secs(120);
     /// Suspects that are remembered; past it the one that would be forgotten first goes.
-    const REMEMBERED: usize = 4_096;
+    const MAX_SUSPECTS: usize = 4_096;
     /// Time between two sendings of a message that is not confirmed.
-    pub(crate) const RESEND: Duration = Duration::from_millis(200);
+    pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-    pub(crate) fn new(me: VmId) -> Self {
+    pub(crate) fn new(own_id: VmId) -> Self {
         Self {
-            live: BTreeSet::from([me.clone()]),
-            me,
+            live_vms: BTreeSet::from([own_id.clone()]),
+            own_id,
             suspects: BTreeMap::new(),
         }
     }
 
     /// Decides on a question for a run.
-    pub(crate) fn answer(
+    pub(crate) fn answer_permit_request(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
-        run: RunOf,
+        run: VmRun,
         limit: Duration,
     ) -> RunPermit {
-        let is_mine = self.owner(fingerprint) == Some(&self.me);
-        let is_known = self.get(now, fingerprint).is_some();
-        let suspect = self.remember(now, fingerprint, now + Quarantine::SUSPECTED_FOR);
-        if !is_known {
+        let is_mine = self.owner(fingerprint) == Some(&self.own_id);
+        let was_tracked = self.get(now, fingerprint).is_some();
+        let suspect = self.track_until(now, fingerprint, now + Quarantine::SUSPECT_DURATION);
+        if !was_tracked {
             // This VM lost its memory: a grant that it gave before may be in use.
-            suspect.handover_until = now + Self::LONGEST_RUN;
+            suspect.handover_until = now + Self::MAX_RUN_DURATION;
         }
         if suspect.is_quarantined {
             return RunPermit::Quarantined {
-                remaining: suspect.until.saturating_sub(now),
+                remaining: suspect.expires_at.saturating_sub(now),
             };
         }
         let is_repeated = suspect.grant.as_ref().is_some_and(|grant| grant.run == run);
-        let may_run = is_repeated || (is_mine && suspect.is_free(now));
+        let may_run = is_repeated || (is_mine && suspect.can_grant(now));
         if !may_run {
             return RunPermit::Wait {
-                retry_after: Quarantine::HOLD,
+                retry_after: Quarantine::CRASH_ACK_TIMEOUT,
             };
         }
-        suspect.grant = Some(Grant {
-            expires: now + Quarantine::START_WITHIN + limit.min(Self::LONGEST_RUN),
+        suspect.grant = Some(RunGrant {
+            expires: now + Quarantine::START_TIMEOUT + limit.min(Self::MAX_RUN_DURATION),
             run,
         });
         RunPermit::Granted
     }
 
     /// Confirms the crash reports of a suspect if all VMs that can be reached know of it.
-    pub(crate) fn confirm(
+    pub(crate) fn confirm_reports(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        if !suspect.is_known(now) {
+        if !suspect.is_known_everywhere(now) {
             return;
         }
-        for report in std::mem::take(&mut suspect.reports) {
-            step.send(&report.vm, QuarantineMessage::Recorded { run: report.run });
+        for report in std::mem::take(&mut suspect.pending_reports) {
+            output.send(&report.vm, QuarantineMessage::Recorded { run: report.run });
         }
     }
 
     /// Counts a crash and tells all VMs. `runs_here`: this VM runs the request too.
-    pub(crate) fn count(
+    pub(crate) fn count_crash(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
-        crash: CrashOf,
+        crash: CrashReport,
         runs_here: bool,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
-        let CrashOf {
+        let CrashReport {
             is_running,
             run,
             upstream,
         } = crash;
-        let me = self.me.clone();
-        let mut unheard = self.live.clone();
-        unheard.remove(&me);
-        unheard.remove(&run.vm);
-        let suspect = self.remember(now, fingerprint, now + Quarantine::SUSPECTED_FOR);
-        suspect.set_running(&me, runs_here);
+        let own_id = self.own_id.clone();
+        let mut unacked_vms = self.live_vms.clone();
+        unacked_vms.remove(&own_id);
+        unacked_vms.remove(&run.vm);
+        let suspect = self.track_until(now, fingerprint, now + Quarantine::SUSPECT_DURATION);
+        suspect.set_running(&own_id, runs_here);
         suspect.set_running(&run.vm, is_running);
-        suspect.count(now, &run, &upstream);
-        suspect.heard_by = now + Quarantine::HOLD;
-        suspect.reports.push(run);
-        suspect.running_by = now + Self::LONGEST_RUN;
-        suspect.unheard = unheard;
-        self.tell(now, fingerprint, step);
+        suspect.record_crash(now, &run, &upstream);
+        suspect.ack_deadline = now + Quarantine::CRASH_ACK_TIMEOUT;
+        suspect.pending_reports.push(run);
+        suspect.running_deadline = now + Self::MAX_RUN_DURATION;
+        suspect.unacked_vms = unacked_vms;
+        self.announce(now, fingerprint, output);
     }
 
     /// Ends a run that did not crash its upstream.
-    pub(crate) fn end(&mut self, fingerprint: Fingerprint, run: &RunOf, is_running: bool) {
+    pub(crate) fn end_run(&mut self, fingerprint: Fingerprint, run: &VmRun, is_running: bool) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.end_grant(run);
+            suspect.release_grant(run);
             suspect.set_running(&run.vm, is_running);
         }
     }
@@ -116,23 +116,23 @@
     pub(crate) fn get(&self, now: Duration, fingerprint: Fingerprint) -> Option<&Suspect> {
         self.suspects
             .get(&fingerprint)
-            .filter(|suspect| suspect.until > now)
+            .filter(|suspect| suspect.expires_at > now)
     }
 
     /// A VM says that it knows of a suspect.
-    pub(crate) fn hear(
+    pub(crate) fn handle_acknowledgement(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
         from: &VmId,
         is_running: bool,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.unheard.remove(from);
+            suspect.unacked_vms.remove(from);
             suspect.set_running(from, is_running);
         }
-        self.confirm(now, fingerprint, step);
+        self.confirm_reports(now, fingerprint, output);
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -140,11 +140,11 @@
     }
 
     pub(crate) fn owner(&self, fingerprint: Fingerprint) -> Option<&VmId> {
-        Rendezvous::new(fingerprint as u64).owner(&self.live)
+        RendezvousHash::new(fingerprint as u64).select_owner(&self.live_vms)
     }
 
     /// The suspect, remembered at least until `until`.
-    pub(crate) fn remember(
+    pub(crate) fn track_until(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
@@ -152,61 +152,66 @@
     ) -> &mut Suspect {
         if self.get(now, fingerprint).is_none() {
             self.suspects.remove(&fingerprint);
-            self.make_room();
+            self.evict_if_full();
         }
         let suspect = self
             .suspects
             .entry(fingerprint)
             .or_insert_with(|| Suspect::new(until));
-        suspect.until = suspect.until.max(until);
+        suspect.expires_at = suspect.expires_at.max(until);
         suspect
     }
 
     /// Tells a VM that has lost its memory of the suspects that this VM owns.
-    pub(crate) fn restarted(&mut self, now: Duration, vm: &VmId, step: &mut QuarantineStep) {
+    pub(crate) fn announce_to_restarted(
+        &mut self,
+        now: Duration,
+        vm: &VmId,
+        output: &mut QuarantineOutput,
+    ) {
         let owned = self
             .suspects
             .keys()
             .copied()
-            .filter(|fingerprint| self.owner(*fingerprint) == Some(&self.me))
+            .filter(|fingerprint| self.owner(*fingerprint) == Some(&self.own_id))
             .collect::<Vec<_>>();
         for fingerprint in owned {
             if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-                suspect.unheard.insert(vm.clone());
-                suspect.heard_by = now + Quarantine::HOLD;
+                suspect.unacked_vms.insert(vm.clone());
+                suspect.ack_deadline = now + Quarantine::CRASH_ACK_TIMEOUT;
             }
-            self.tell(now, fingerprint, step);
+            self.announce(now, fingerprint, output);
         }
     }
 
     /// Takes the list of live VMs. An owner that takes a suspect over waits for the previous
     /// owner's grant, which it does not know.
-    pub(crate) fn set_live(&mut self, now: Duration, mut live: BTreeSet<VmId>) {
-        live.insert(self.me.clone());
+    pub(crate) fn set_live_vms(&mut self, now: Duration, mut live_vms: BTreeSet<VmId>) {
+        live_vms.insert(self.own_id.clone());
         for (fingerprint, suspect) in &mut self.suspects {
-            let rendezvous = Rendezvous::new(*fingerprint as u64);
-            let was_mine = rendezvous.owner(&self.live) == Some(&self.me);
-            if !was_mine && rendezvous.owner(&live) == Some(&self.me) {
-                suspect.handover_until = now + Self::LONGEST_RUN;
+            let rendezvous = RendezvousHash::new(*fingerprint as u64);
+            let was_mine = rendezvous.select_owner(&self.live_vms) == Some(&self.own_id);
+            if !was_mine && rendezvous.select_owner(&live_vms) == Some(&self.own_id) {
+                suspect.handover_until = now + Self::MAX_RUN_DURATION;
             }
-            suspect.running.retain(|vm| live.contains(vm));
-            suspect.unheard.retain(|vm| live.contains(vm));
+            suspect.running_vms.retain(|vm| live_vms.contains(vm));
+            suspect.unacked_vms.retain(|vm| live_vms.contains(vm));
         }
-        self.live = live;
+        self.live_vms = live_vms;
     }
 
     /// Tells the VMs that have not confirmed, and confirms if all have.
-    pub(crate) fn tell(
+    pub(crate) fn announce(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
-        step: &mut QuarantineStep,
+        output: &mut QuarantineOutput,
     ) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        suspect.told_at = now;
-        let remaining = suspect.until.saturating_sub(now);
+        suspect.announced_at = now;
+        let remaining = suspect.expires_at.saturating_sub(now);
         let message = match suspect.is_quarantined {
             true => QuarantineMessage::Quarantined {
                 fingerprint,
@@ -217,39 +222,41 @@
                 remaining,
             },
         };
-        for vm in &suspect.unheard {
-            step.send(vm, message.clone());
+        for vm in &suspect.unacked_vms {
+            output.send(vm, message.clone());
         }
-        self.confirm(now, fingerprint, step);
+        self.confirm_reports(now, fingerprint, output);
     }
 
     /// Time has passed. A grant whose holder never told its end counts as a crash: the holder
     /// may have been cut off or killed with it.
-    pub(crate) fn tick(&mut self, now: Duration, step: &mut QuarantineStep) {
-        self.suspects.retain(|_, suspect| suspect.until > now);
+    pub(crate) fn tick(&mut self, now: Duration, output: &mut QuarantineOutput) {
+        self.suspects.retain(|_, suspect| suspect.expires_at > now);
         let mut due = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
             if suspect.expire_grant(now) {
-                suspect.unheard = self.live.clone();
-                suspect.unheard.remove(&self.me);
+                suspect.unacked_vms = self.live_vms.clone();
+                suspect.unacked_vms.remove(&self.own_id);
                 due.push(*fingerprint);
-            } else if suspect.is_unsettled() && now >= suspect.told_at + Self::RESEND {
+            } else if suspect.has_unacked_messages()
+                && now >= suspect.announced_at + Self::RESEND_INTERVAL
+            {
                 due.push(*fingerprint);
             }
         }
         for fingerprint in due {
-            self.tell(now, fingerprint, step);
+            self.announce(now, fingerprint, output);
         }
     }
 
-    fn make_room(&mut self) {
-        if self.suspects.len() < Self::REMEMBERED {
+    fn evict_if_full(&mut self) {
+        if self.suspects.len() < Self::MAX_SUSPECTS {
             return;
         }
         let first = self
             .suspects
             .iter()
-            .min_by_key(|(_, suspect)| suspect.until)
+            .min_by_key(|(_, suspect)| suspect.expires_at)
             .map(|(fingerprint, _)| *fingerprint);
         if let Some(first) = first {
             self.suspects.remove(&first);
--- a/crates/ebonystand-core/src/traffic_class.rs
+++ b/crates/ebonystand-core/src/traffic_class.rs
@@ -19,7 +19,7 @@
 
 impl TrafficClass {
     /// Part of a link's second that the class leaves to the more urgent ones, in thousandths.
-    pub(crate) fn floor_permille(self) -> u64 {
+    pub(crate) fn reserved_permille(self) -> u64 {
         match self {
             Self::Control => 0,
             Self::Request => 100,
--- a/crates/ebonystand-core/src/upstream_group.rs
+++ b/crates/ebonystand-core/src/upstream_group.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamGroup {
     /// Best upstream of earlier decisions of this VM.
-    pub(crate) best: Option<u32>,
+    pub(crate) best_known: Option<u32>,
     /// Upstreams that are not leaving.
     pub(crate) members: Vec<u32>,
     pub(crate) region: u32,
@@ -12,18 +12,18 @@
 
 impl UpstreamGroup {
     /// Members that are looked at, from a random one on, when none of the choices will do.
-    pub(crate) const SCANNED: usize = 64;
+    pub(crate) const MAX_SCANNED: usize = 64;
     /// Members of a group of which all are weighed. Of a larger one, two random ones cut the
     /// longest queue exponentially against one, at a cost that does not grow with the group.
-    const SMALL: usize = 12;
+    const MAX_FULLY_SAMPLED: usize = 12;
 
-    pub(crate) fn join(&mut self, index: u32, leaving: bool) {
+    pub(crate) fn add_member(&mut self, index: u32, leaving: bool) {
         if !leaving {
             self.members.push(index);
         }
     }
 
-    pub(crate) fn of_region(groups: &mut Vec<Self>, region: u32) -> &mut Self {
+    pub(crate) fn get_or_insert(groups: &mut Vec<Self>, region: u32) -> &mut Self {
         let at = match groups.binary_search_by_key(&region, |group| group.region) {
             Ok(at) => at,
             Err(at) => {
@@ -40,26 +40,26 @@
         &self,
         rng: &mut Pcg64Mcg,
         is_whole: bool,
-        mut pick: impl FnMut(u32, RouteReason),
+        mut visit: impl FnMut(u32, RouteReason),
     ) {
         let count = self.members.len();
-        if count <= if is_whole { Self::SMALL } else { 2 } {
+        if count <= if is_whole { Self::MAX_FULLY_SAMPLED } else { 2 } {
             self.members
                 .iter()
-                .for_each(|&index| pick(index, RouteReason::Sampled));
+                .for_each(|&index| visit(index, RouteReason::Sampled));
             return;
         }
         let first = rng.random_range(0..count);
         let second = (first + rng.random_range(1..count)) % count;
-        pick(self.members[first], RouteReason::Sampled);
-        pick(self.members[second], RouteReason::Sampled);
-        if let Some(best) = self.best {
-            pick(best, RouteReason::BestKnown);
+        visit(self.members[first], RouteReason::Sampled);
+        visit(self.members[second], RouteReason::Sampled);
+        if let Some(best_known) = self.best_known {
+            visit(best_known, RouteReason::BestKnown);
         }
     }
 
-    /// Up to [`Self::SCANNED`] members from a random one on.
-    pub(crate) fn scan(&self, rng: &mut Pcg64Mcg, mut pick: impl FnMut(u32)) {
+    /// Up to [`Self::MAX_SCANNED`] members from a random one on.
+    pub(crate) fn scan(&self, rng: &mut Pcg64Mcg, mut visit: impl FnMut(u32)) {
         if self.members.is_empty() {
             return;
         }
@@ -68,13 +68,13 @@
             .iter()
             .cycle()
             .skip(first)
-            .take(self.members.len().min(Self::SCANNED))
-            .for_each(|&index| pick(index));
+            .take(self.members.len().min(Self::MAX_SCANNED))
+            .for_each(|&index| visit(index));
     }
 
     fn new(region: u32) -> Self {
         Self {
-            best: None,
+            best_known: None,
             members: Vec::new(),
             region,
         }
--- a/crates/ebonystand-core/src/fleet.rs
+++ b/crates/ebonystand-core/src/upstream_index.rs
@@ -2,21 +2,21 @@
 
 /// Upstreams of the document in force, found by target and region.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Fleet {
+pub(crate) struct UpstreamIndex {
     by_id: FxHashMap<UpstreamId, u32>,
-    free: Vec<u32>,
+    free_indices: Vec<u32>,
     groups: FxHashMap<Target, Vec<UpstreamGroup>>,
     own_region: u32,
     regions: Vec<RegionId>,
     upstreams: Vec<UpstreamState>,
 }
 
-impl Fleet {
+impl UpstreamIndex {
     /// Regions of which a decision weighs some upstreams, beside the own one.
-    pub(crate) const SAMPLED: usize = 6;
+    pub(crate) const MAX_SAMPLED_REGIONS: usize = 6;
 
     /// The target's regions that may serve the query.
-    pub(crate) fn allowed<'a>(
+    pub(crate) fn allowed_groups<'a>(
         &'a self,
         query: &'a RouteQuery,
     ) -> impl Iterator<Item = &'a UpstreamGroup> + Clone {
@@ -38,14 +38,14 @@
         self.regions = document.regions.keys().cloned().collect();
         let own = self.regions.binary_search(&here.region);
         self.own_region = own.map_or(u32::MAX, |own| own as u32);
-        self.forget_absent(document);
+        self.remove_absent(document);
         for (id, upstream) in &document.upstreams {
-            self.put(now, here, id, upstream, warm);
+            self.upsert(now, here, id, upstream, warm);
         }
-        self.index(document);
+        self.rebuild_groups(document);
     }
 
-    pub(crate) fn find(&self, id: &str) -> Option<u32> {
+    pub(crate) fn find_index(&self, id: &str) -> Option<u32> {
         self.by_id.get(id).copied()
     }
 
@@ -67,7 +67,7 @@
             .map_or(&mut [], Vec::as_mut_slice)
     }
 
-    pub(crate) fn is_own(&self, group: &UpstreamGroup) -> bool {
+    pub(crate) fn is_in_own_region(&self, group: &UpstreamGroup) -> bool {
         group.region == self.own_region
     }
 
@@ -81,53 +81,57 @@
 
     /// The regions to look at: the own one and, from a random one on, a few others, so that the
     /// cost of a decision does not grow with the regions.
-    pub(crate) fn sampled<'a>(
+    pub(crate) fn sampled_groups<'a>(
         &'a self,
         query: &'a RouteQuery,
         from: usize,
     ) -> impl Iterator<Item = &'a UpstreamGroup> {
         let from = from as u32;
-        let local = self.allowed(query).filter(|group| self.is_own(group));
-        let others = self.allowed(query).filter(|group| !self.is_own(group));
+        let local = self
+            .allowed_groups(query)
+            .filter(|group| self.is_in_own_region(group));
+        let others = self
+            .allowed_groups(query)
+            .filter(|group| !self.is_in_own_region(group));
         let after = others.clone().filter(move |group| group.region >= from);
         let before = others.filter(move |group| group.region < from);
-        local.chain(after.chain(before).take(Self::SAMPLED))
+        local.chain(after.chain(before).take(Self::MAX_SAMPLED_REGIONS))
     }
 
     /// Whether an upstream serves the target and is not leaving.
-    pub(crate) fn serves(&self, index: u32, target: &Target) -> bool {
+    pub(crate) fn is_serving(&self, index: u32, target: &Target) -> bool {
         self.groups(target)
             .unwrap_or_default()
             .iter()
             .any(|group| group.members.binary_search(&index).is_ok())
     }
 
-    fn forget_absent(&mut self, document: &Document) {
+    fn remove_absent(&mut self, document: &Document) {
         let upstreams = &mut self.upstreams;
-        let free = &mut self.free;
+        let free_indices = &mut self.free_indices;
         self.by_id.retain(|id, index| {
             let present = document.upstreams.contains_key(id);
             if !present {
                 let state = &mut upstreams[*index as usize];
                 state.leaving = true;
                 state.generation = state.generation.wrapping_add(1);
-                free.push(*index);
+                free_indices.push(*index);
             }
             present
         });
-        free.sort_unstable();
+        free_indices.sort_unstable();
     }
 
-    fn index(&mut self, document: &Document) {
+    fn rebuild_groups(&mut self, document: &Document) {
         let mut groups = FxHashMap::<Target, Vec<UpstreamGroup>>::default();
         for (id, upstream) in &document.upstreams {
-            let Some(index) = self.find(id) else {
+            let Some(index) = self.find_index(id) else {
                 continue;
             };
             let region = self.get(index).region;
             for target in upstream.kind.targets() {
                 let regions = groups.entry(target).or_default();
-                UpstreamGroup::of_region(regions, region).join(index, upstream.leaving);
+                UpstreamGroup::get_or_insert(regions, region).add_member(index, upstream.leaving);
             }
         }
         for group in groups.values_mut().flatten() {
@@ -136,7 +140,7 @@
         self.groups = groups;
     }
 
-    fn put(
+    fn upsert(
         &mut self,
         now: Duration,
         here: &Place,
@@ -147,11 +151,11 @@
         let Ok(region) = self.regions.binary_search(&upstream.region) else {
             return;
         };
-        let mut state = match self.find(id) {
+        let mut state = match self.find_index(id) {
             Some(index) => self.get(index).clone(),
             None => UpstreamState::new(id, upstream),
         };
-        let returns = self.find(id).is_none() || (state.leaving && !upstream.leaving);
+        let returns = self.find_index(id).is_none() || (state.leaving && !upstream.leaving);
         state.address = upstream.address;
         state.cost = upstream.cost;
         state.leaving = upstream.leaving;
@@ -160,17 +164,17 @@
         state.is_in_own_region = upstream.region == here.region;
         state.is_in_own_zone = state.is_in_own_region && upstream.zone == here.zone;
         if returns && !warm {
-            state.became_cold(now);
+            state.mark_cold(now);
         }
-        self.store(id, state);
+        self.insert_state(id, state);
     }
 
-    fn store(&mut self, id: &UpstreamId, mut state: UpstreamState) {
-        if let Some(index) = self.find(id) {
+    fn insert_state(&mut self, id: &UpstreamId, mut state: UpstreamState) {
+        if let Some(index) = self.find_index(id) {
             *self.get_mut(index) = state;
             return;
         }
-        let index = match self.free.pop() {
+        let index = match self.free_indices.pop() {
             Some(index) => {
                 state.generation = self.get(index).generation.wrapping_add(1);
                 *self.get_mut(index) = state;
--- a/crates/ebonystand-core/src/upstream_state.rs
+++ b/crates/ebonystand-core/src/upstream_state.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) address: SocketAddr,
-    pub(crate) circuit: Circuit,
+    pub(crate) circuit: CircuitBreaker,
     /// Last sequence number of its cache events.
     pub(crate) cache_sequence: u64,
     pub(crate) cost: u64,
@@ -23,17 +23,17 @@
 
 impl UpstreamState {
     /// Share of its speed that a cold upstream starts with.
-    const COLD_SHARE: f64 = 0.2;
+    const COLD_SPEED_SHARE: f64 = 0.2;
 
-    pub(crate) fn admits(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
-        !self.leaving && self.circuit.admits(now) && !excluded.contains(&self.id)
+    pub(crate) fn allows_dispatch(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
+        !self.leaving && self.circuit.allows_dispatch(now) && !excluded.contains(&self.id)
     }
 
     pub(crate) fn new(id: &UpstreamId, upstream: &Upstream) -> Self {
         Self {
             address: upstream.address,
             cache_sequence: 0,
-            circuit: Circuit::default(),
+            circuit: CircuitBreaker::default(),
             cold_since: None,
             cost: upstream.cost,
             generation: 0,
@@ -48,18 +48,18 @@
     }
 
     /// Starts slow start anew and drops its prefix hints.
-    pub(crate) fn became_cold(&mut self, now: Duration) {
+    pub(crate) fn mark_cold(&mut self, now: Duration) {
         self.cold_since = Some(now);
         self.generation = self.generation.wrapping_add(1);
     }
 
-    /// Share of its speed to count on, between [`Self::COLD_SHARE`] and 1.
-    pub(crate) fn ramp(&self, now: Duration, slow_start: Duration) -> f64 {
+    /// Share of its speed to count on, between [`Self::COLD_SPEED_SHARE`] and 1.
+    pub(crate) fn slow_start_factor(&self, now: Duration, slow_start: Duration) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
         let elapsed = now.saturating_sub(since).as_secs_f64();
         let warmed = elapsed / slow_start.as_secs_f64().max(f64::MIN_POSITIVE);
-        (Self::COLD_SHARE + (1.0 - Self::COLD_SHARE) * warmed).min(1.0)
+        (Self::COLD_SPEED_SHARE + (1.0 - Self::COLD_SPEED_SHARE) * warmed).min(1.0)
     }
 }
--- a/crates/ebonystand-core/src/vm_mark.rs
+++ b/crates/ebonystand-core/src/vm_mark.rs
@@ -18,6 +18,8 @@
 
     /// Encoded length in bytes, at most.
     pub(crate) fn weight(&self) -> usize {
-        text_weight(&self.vm) + varint_weight(self.incarnation) + varint_weight(self.heartbeat)
+        text_encoded_len(&self.vm)
+            + varint_encoded_len(self.incarnation)
+            + varint_encoded_len(self.heartbeat)
     }
 }
--- a/crates/ebonystand-core/src/vm_record.rs
+++ b/crates/ebonystand-core/src/vm_record.rs
@@ -49,15 +49,15 @@
 
     /// Encoded length in bytes, at most.
     pub(crate) fn weight(&self) -> usize {
-        text_weight(&self.region)
-            + text_weight(&self.vm)
-            + text_weight(&self.zone)
-            + varint_weight(self.heartbeat)
-            + varint_weight(self.incarnation)
-            + varint_weight(self.version)
-            + address_weight(self.http)
-            + address_weight(self.peer)
-            + self.forwards.map_or(0, address_weight)
+        text_encoded_len(&self.region)
+            + text_encoded_len(&self.vm)
+            + text_encoded_len(&self.zone)
+            + varint_encoded_len(self.heartbeat)
+            + varint_encoded_len(self.incarnation)
+            + varint_encoded_len(self.version)
+            + address_encoded_len(self.http)
+            + address_encoded_len(self.peer)
+            + self.forwards.map_or(0, address_encoded_len)
             + 4
     }
 }
--- a/crates/ebonystand-core/src/backlog.rs
+++ b/crates/ebonystand-core/src/workspace_backlog.rs
@@ -2,8 +2,8 @@
 
 /// What one workspace has in a [`FairQueue`].
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Backlog {
-    pub(crate) entries: VecDeque<Waiting>,
+pub(crate) struct WorkspaceBacklog {
+    pub(crate) entries: VecDeque<WaitingEntry>,
     /// Virtual time at which the last request that it took ends.
     pub(crate) finish: Tokens,
     pub(crate) queued: Tokens,
@@ -12,18 +12,18 @@
 
 /// A waiting request and the virtual time of its start.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingEntry {
     pub(crate) entry: QueueEntry,
     pub(crate) start: Tokens,
 }
 
-impl Backlog {
+impl WorkspaceBacklog {
     /// Queued tokens from which on a backlog counts as a burst.
-    const BURST: Tokens = 8_000;
+    const BURST_TOKENS: Tokens = 8_000;
 
     /// Whether it may start a request. A burst may take one of the reserved slots only while it
     /// holds less than half its equal share; else it could starve behind many calm workspaces.
-    pub(crate) fn may_start(&self, is_reserve: bool, half_share: u32) -> bool {
-        !is_reserve || self.queued <= Self::BURST || self.running < half_share
+    pub(crate) fn can_start(&self, is_only_reserve_left: bool, half_share: u32) -> bool {
+        !is_only_reserve_left || self.queued <= Self::BURST_TOKENS || self.running < half_share
     }
 }
--- a/crates/ebonystand-core/tests/common/simulation.rs
+++ b/crates/ebonystand-core/tests/common/simulation.rs
@@ -175,7 +175,7 @@
         }
         while let Some((_, engine, report)) = self.reports.pop_front_if(|(due, ..)| *due <= now) {
             for router in &mut self.routers {
-                router.report(ms(now), &self.ids[engine], report.clone());
+                router.record_load_report(ms(now), &self.ids[engine], report.clone());
             }
             self.engines[engine].seen = report;
         }
@@ -223,12 +223,12 @@
                 break;
             };
             let router = &mut self.routers[job.vm];
-            router.started(ms(now), &self.ids[at], work);
+            router.record_dispatch(ms(now), &self.ids[at], work);
             if self.engines[at].is_up {
                 self.engines[at].waiting.push_back(job.clone());
                 return;
             }
-            router.finished(ms(now), &self.ids[at], DispatchEnd::Failed);
+            router.record_dispatch_end(ms(now), &self.ids[at], DispatchEnd::Failed);
             excluded.push(self.ids[at].clone());
         }
         self.times.push((NEVER, job.workspace));
@@ -305,7 +305,7 @@
         let running = engine.running.drain(..).map(|(.., job)| job);
         let jobs = running.chain(engine.waiting.drain(..)).collect::<Vec<_>>();
         for job in jobs {
-            self.routers[job.vm].finished(ms(now), &self.ids[at], DispatchEnd::Failed);
+            self.routers[job.vm].record_dispatch_end(ms(now), &self.ids[at], DispatchEnd::Failed);
             self.dispatch(now, &job);
         }
     }
@@ -317,7 +317,7 @@
             for (_, first, job) in engine.running.extract_if(.., ended) {
                 let first_token = ms(first);
                 let end = DispatchEnd::Answered { first_token };
-                self.routers[job.vm].finished(ms(now), &self.ids[at], end);
+                self.routers[job.vm].record_dispatch_end(ms(now), &self.ids[at], end);
             }
             while engine.running.len() < SLOTS {
                 let Some(job) = engine.waiting.pop_front() else {
--- a/crates/ebonystand-core/tests/fair_queue.rs
+++ b/crates/ebonystand-core/tests/fair_queue.rs
@@ -68,13 +68,13 @@
         let now = match ends.first().copied() {
             Some((end, id)) if end <= arrivals[next].since => {
                 ends.pop_first();
-                queue.finished(&name(id));
+                queue.record_dispatch_end(&name(id));
                 end
             }
             _ => {
                 match queue.push(entry(next as u64, &name(next), ms(60_000))) {
-                    QueueOutcome::Runs => started.push(next),
-                    QueueOutcome::QueuedFor { shed: entry } => {
+                    QueueOutcome::Started => started.push(next),
+                    QueueOutcome::QueuedAfterShedding { shed: entry } => {
                         shed += usize::from(&*entry.workspace != "w0");
                     }
                     QueueOutcome::Shed { .. } => shed += arrivals[next].workspace.min(1),
@@ -123,7 +123,7 @@
 fn a_full_queue_sheds_the_longest_backlog() {
     let mut queue = FairQueue::new(1, 3 * WORK);
     let at = ms(1_000);
-    assert_eq!(queue.push(entry(0, "burst", at)), QueueOutcome::Runs);
+    assert_eq!(queue.push(entry(0, "burst", at)), QueueOutcome::Started);
     for id in 1..=3 {
         assert_eq!(queue.push(entry(id, "burst", at)), QueueOutcome::Queued);
     }
@@ -132,12 +132,12 @@
     let shed = entry(3, "burst", at);
     assert_eq!(
         queue.push(entry(5, "calm", at)),
-        QueueOutcome::QueuedFor { shed }
+        QueueOutcome::QueuedAfterShedding { shed }
     );
-    queue.finished("burst");
+    queue.record_dispatch_end("burst");
     let order = std::iter::from_fn(|| {
         let entry = queue.pop()?;
-        queue.finished(&entry.workspace);
+        queue.record_dispatch_end(&entry.workspace);
         Some(entry.id)
     });
     assert_eq!(order.collect::<Vec<_>>(), [5, 1, 2]);
@@ -153,13 +153,13 @@
     queue.push(entry(2, "a", ms(10)));
     queue.push(entry(3, "b", ms(1_000)));
     assert!(queue.cancel("a", 1).is_some());
-    let expired = queue.expire(ms(10));
+    let expired = queue.remove_expired(ms(10));
     assert_eq!(
         expired.iter().map(|entry| entry.id).collect::<Vec<_>>(),
         [2]
     );
-    assert_eq!(queue.queued(), WORK);
-    queue.finished("a");
+    assert_eq!(queue.queued_work(), WORK);
+    queue.record_dispatch_end("a");
     assert_eq!(queue.pop().map(|entry| entry.id), Some(3));
 }
 
--- a/crates/ebonystand-core/tests/fencing.rs
+++ b/crates/ebonystand-core/tests/fencing.rs
@@ -2,8 +2,8 @@
 
 use {
     ebonystand_core::{
-        FenceCommand, FenceHolder, FenceOutcome, FencePermit, FenceRegistry, Orderer, OrdererFault,
-        OrdererTimes, Upstream, UpstreamKind,
+        FenceCommand, FenceHolder, FenceOutcome, FencePermit, FenceRegistry, FencedRole,
+        FencedRoleError, FencedRoleTimings, Upstream, UpstreamKind,
     },
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -71,36 +71,36 @@
 /// wait and after it has read a state that its predecessor can no longer change.
 #[test]
 fn a_successor_waits_and_reads_before_it_orders() {
-    let (mut registry, times) = (FenceRegistry::default(), OrdererTimes::default());
+    let (mut registry, times) = (FenceRegistry::default(), FencedRoleTimings::default());
     registry.apply(&claim("a", 0));
-    let mut orderer = Orderer::new(Duration::ZERO, ROLE.into(), holder("b", 1), times);
-    orderer.observe(Duration::ZERO, &registry);
+    let mut fenced_role = FencedRole::new(Duration::ZERO, ROLE.into(), holder("b", 1), times);
+    fenced_role.observe_registry(Duration::ZERO, &registry);
     let mut now = Duration::ZERO;
-    let mut advance = |orderer: &mut Orderer, to: Duration| {
+    let mut advance = |fenced_role: &mut FencedRole, to: Duration| {
         while now < to {
             now += STEP;
-            if let Some(command) = orderer.poll(now) {
-                orderer.outcome(now, &registry.apply(&command));
+            if let Some(command) = fenced_role.poll(now) {
+                fenced_role.handle_outcome(now, &registry.apply(&command));
             }
         }
     };
     let (id, checks, ignores) = ("engine".into(), upstream(true), upstream(false));
     let held = times.lease * 2 + STEP * 2;
-    advance(&mut orderer, held);
-    assert!(orderer.pass(held, &id, &checks).is_ok());
+    advance(&mut fenced_role, held);
+    assert!(fenced_role.authorize_order(held, &id, &checks).is_ok());
     assert_eq!(
-        orderer.pass(held, &id, &ignores).err(),
-        Some(OrdererFault::Waiting)
+        fenced_role.authorize_order(held, &id, &ignores).err(),
+        Some(FencedRoleError::PredecessorActive)
     );
-    orderer.state_read(held, id.clone());
-    let open = held + times.succession();
-    advance(&mut orderer, open);
+    fenced_role.record_state_read(held, id.clone());
+    let open = held + times.succession_wait();
+    advance(&mut fenced_role, open);
     assert_eq!(
-        orderer.pass(open, &id, &ignores).err(),
-        Some(OrdererFault::Unread)
+        fenced_role.authorize_order(open, &id, &ignores).err(),
+        Some(FencedRoleError::StateUnread)
     );
-    orderer.state_read(open, id.clone());
-    assert!(orderer.pass(open, &id, &ignores).is_ok());
+    fenced_role.record_state_read(open, id.clone());
+    assert!(fenced_role.authorize_order(open, &id, &ignores).is_ok());
 }
 
 /// A holder with a slow clock renews; its successor, with a fast one, claims right behind that
@@ -113,10 +113,10 @@
 fn the_wait_outlasts_the_predecessor(#[case] answers: &[u32]) {
     let (mut registry, times, engine) = (
         FenceRegistry::default(),
-        OrdererTimes::default(),
+        FencedRoleTimings::default(),
         upstream(false),
     );
-    let new = |vm| Orderer::new(Duration::ZERO, ROLE.into(), holder(vm, 1), times);
+    let new = |vm| FencedRole::new(Duration::ZERO, ROLE.into(), holder(vm, 1), times);
     let (mut a, mut b) = (new("a"), new("b"));
     let (mut claimed, mut last, mut first) = (None, None, None);
     for now in (0..5_000).map(|turn| MS * 10 * turn) {
@@ -125,30 +125,30 @@
             && claimed.is_none()
         {
             let outcome = registry.apply(&command);
-            b.observe(Duration::ZERO, &registry);
+            b.observe_registry(Duration::ZERO, &registry);
             if now < times.lease * 3 {
-                a.outcome(slow, &outcome);
+                a.handle_outcome(slow, &outcome);
             } else {
                 let claim = b.poll(fast).expect("the holder seems dead");
-                b.outcome(fast, &registry.apply(&claim));
+                b.handle_outcome(fast, &registry.apply(&claim));
                 claimed = Some((now, outcome));
             }
         }
         if let Some((at, outcome)) = claimed {
             if answers.iter().any(|wait| at + MS * *wait == now) {
-                a.outcome(slow, &outcome);
+                a.handle_outcome(slow, &outcome);
             }
             if let Some(command) = b.poll(fast) {
-                b.outcome(fast, &registry.apply(&command));
+                b.handle_outcome(fast, &registry.apply(&command));
             }
         }
-        for (orderer, clock) in [(&mut a, slow), (&mut b, fast)] {
-            orderer.state_read(clock, "engine".into());
+        for (fenced_role, clock) in [(&mut a, slow), (&mut b, fast)] {
+            fenced_role.record_state_read(clock, "engine".into());
         }
-        if a.pass(slow, &"engine".into(), &engine).is_ok() {
+        if a.authorize_order(slow, &"engine".into(), &engine).is_ok() {
             last = Some(now);
         }
-        if first.is_none() && b.pass(fast, &"engine".into(), &engine).is_ok() {
+        if first.is_none() && b.authorize_order(fast, &"engine".into(), &engine).is_ok() {
             first = Some(now);
         }
     }
@@ -162,7 +162,7 @@
     /// Until then it hears nothing of the registry, and takes a live holder for dead.
     blind_until: Duration,
     frozen_until: Duration,
-    orderer: Orderer,
+    fenced_role: FencedRole,
     permit: Option<FencePermit>,
     /// Clock rate in thousandths of true time.
     rate: u32,
@@ -184,11 +184,11 @@
         let vm = |(rate, vm)| Vm {
             blind_until: Duration::ZERO,
             frozen_until: Duration::ZERO,
-            orderer: Orderer::new(
+            fenced_role: FencedRole::new(
                 Duration::ZERO,
                 ROLE.into(),
                 holder(vm, 1),
-                OrdererTimes::default(),
+                FencedRoleTimings::default(),
             ),
             permit: None,
             rate,
@@ -212,24 +212,24 @@
             .outcomes
             .extract_if(.., |(at, to, _)| *to == i && *at <= now)
         {
-            vm.orderer.outcome(clock, &outcome);
+            vm.fenced_role.handle_outcome(clock, &outcome);
         }
         if now >= vm.blind_until {
-            vm.orderer.observe(clock, &self.registry);
+            vm.fenced_role.observe_registry(clock, &self.registry);
         }
-        if let Some(command) = vm.orderer.poll(clock).filter(|_| rng.random_bool(0.9)) {
+        if let Some(command) = vm.fenced_role.poll(clock).filter(|_| rng.random_bool(0.9)) {
             let longest = if rng.random_bool(0.2) { 9_000 } else { 50 };
             let arrival = now + MS * rng.random_range(1..longest);
             let outcome = self.registry.apply(&command);
             self.outcomes.push((arrival, i, outcome));
         }
         let (id, engine) = ("engine".into(), upstream(false));
-        vm.orderer.state_read(clock, "engine".into());
+        vm.fenced_role.record_state_read(clock, "engine".into());
         if let Some(Ok(fence)) = vm.permit.take().map(|permit| permit.redeem(clock)) {
-            let late = OrdererTimes::default().order * rng.random_range(0..=1);
+            let late = FencedRoleTimings::default().order * rng.random_range(0..=1);
             self.seen.push((now + late, fence));
         }
-        vm.permit = vm.orderer.pass(clock, &id, &engine).ok();
+        vm.permit = vm.fenced_role.authorize_order(clock, &id, &engine).ok();
         if rng.random_bool(0.01) {
             vm.blind_until = now + MS * rng.random_range(1_000..40_000);
         }
--- a/crates/ebonystand-core/tests/herd.rs
+++ b/crates/ebonystand-core/tests/herd.rs
@@ -58,14 +58,14 @@
             waiting: waiting as u32,
         };
         for router in &mut *routers {
-            router.report(now, &id(upstream), report.clone());
+            router.record_load_report(now, &id(upstream), report.clone());
         }
     }
     for n in 0..18 {
         for (vm, router) in routers.iter_mut().enumerate() {
             let now = now + ms(1 + n * 50);
             let route = router.route(now, &query).expect("below the limit");
-            router.started(now, &route.upstream, route.work);
+            router.record_dispatch(now, &route.upstream, route.work);
             let upstream = route.upstream[6..].parse::<usize>().expect("a number");
             queues[upstream].push_back(vm);
         }
@@ -92,7 +92,7 @@
         |now, vm, upstream| {
             let first_token = ms(100);
             let end = DispatchEnd::Answered { first_token };
-            routers.borrow_mut()[vm].finished(now, &format!("armor-{upstream}"), end);
+            routers.borrow_mut()[vm].record_dispatch_end(now, &format!("armor-{upstream}"), end);
         },
     );
     let idlest = imbalance(
--- a/crates/ebonystand-core/tests/placement.rs
+++ b/crates/ebonystand-core/tests/placement.rs
@@ -1,9 +1,9 @@
-//! Placement of models on engines.
+//! PlacementController of models on engines.
 
 use {
     ebonystand_core::{
-        EngineView, ModelId, ModelNeeds, ModelReplica, Placement, PlacementAction, PlacementOrder,
-        PlacementReason, PlacementSettings, UpstreamId,
+        EngineReport, ModelId, ModelReplica, ModelRequirements, PlacementAction,
+        PlacementController, PlacementOrder, PlacementReason, PlacementSettings, UpstreamId,
     },
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -18,9 +18,9 @@
 /// Engines that do as they are told, the store's time later, and report each second.
 struct World {
     coming: Vec<(Duration, ModelReplica)>,
-    controller: Placement,
+    controller: PlacementController,
     ending: Vec<(Duration, ModelReplica)>,
-    engines: BTreeMap<UpstreamId, EngineView>,
+    engines: BTreeMap<UpstreamId, EngineReport>,
     now: Duration,
     orders: Vec<(Duration, PlacementOrder)>,
 }
@@ -28,7 +28,7 @@
 impl World {
     /// Engines with room for `room` models each, models with one replica as floor.
     fn new(engines: &[(&str, &[&str])], models: &[&str], room: u64) -> Self {
-        let needs = ModelNeeds {
+        let needs = ModelRequirements {
             bytes: BYTES,
             floor: 1,
             tokens_per_replica: 100,
@@ -45,18 +45,18 @@
             stale: SECOND * 5,
             store_rate: RATE,
         };
-        let engine = |models: &[&str]| EngineView {
+        let engine = |models: &[&str]| EngineReport {
             leaving: false,
             models: models.iter().map(|model| ((*model).into(), 0)).collect(),
             reported_at: Duration::ZERO,
-            room: room * BYTES,
+            weight_capacity: room * BYTES,
         };
         let engines = engines
             .iter()
             .map(|(id, models)| ((*id).into(), engine(models)));
         Self {
             coming: Vec::new(),
-            controller: Placement::new(Duration::ZERO, settings),
+            controller: PlacementController::new(Duration::ZERO, settings),
             ending: Vec::new(),
             engines: engines.collect(),
             now: Duration::ZERO,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn engine(&mut self, id: &str) -> &mut EngineView {
+    fn engine(&mut self, id: &str) -> &mut EngineReport {
         self.engines.get_mut(id).expect("an engine")
     }
 
@@ -72,10 +72,10 @@
     fn serving(&self, model: &str) -> usize {
         let retired = |id| {
             self.controller
-                .retired()
+                .retired_replicas()
                 .any(|r| r.engine == id && &*r.model == model)
         };
-        let serves = |(id, engine): &(&UpstreamId, &EngineView)| {
+        let serves = |(id, engine): &(&UpstreamId, &EngineReport)| {
             !engine.leaving && engine.models.contains_key(model) && !retired((*id).clone())
         };
         self.engines.iter().filter(serves).count()
@@ -100,9 +100,10 @@
                 engine.reported_at = self.now;
             }
             for (model, rate) in demand {
-                self.controller.demand(self.now, &(*model).into(), *rate);
+                self.controller
+                    .record_demand(self.now, &(*model).into(), *rate);
             }
-            for order in self.controller.step(self.now, &self.engines) {
+            for order in self.controller.plan(self.now, &self.engines) {
                 self.obey(order);
             }
         }
--- a/crates/ebonystand-core/tests/quarantine.rs
+++ b/crates/ebonystand-core/tests/quarantine.rs
@@ -42,7 +42,7 @@
     has_lost: bool,
     losses: u32,
     /// Messages under way, with the index of their sender.
-    network: Vec<(usize, QuarantineSend)>,
+    network: Vec<(usize, OutgoingQuarantineMessage)>,
     now: Duration,
     requests: Vec<Request>,
     /// Requests that the caller may still send.
@@ -60,7 +60,7 @@
             .collect::<BTreeSet<_>>();
         let vm = |id: &VmId| {
             let mut vm = Quarantine::new(id.clone(), 0);
-            vm.set_live(Duration::ZERO, live.clone());
+            vm.set_live_vms(Duration::ZERO, live.clone());
             vm
         };
         Self {
@@ -104,23 +104,23 @@
     }
 
     fn begin(&mut self, vm: usize, run: RunId) {
-        match self.vms[vm].begin(self.now, run, FINGERPRINT) {
-            QuarantineVerdict::Ask if self.without != Without::Ask => {
+        match self.vms[vm].start_run(self.now, run, FINGERPRINT) {
+            QuarantineDecision::PermitRequired if self.without != Without::Ask => {
                 self.requests.push(Request::Asking(vm, run));
-                let step = self.vms[vm].ask(self.now, run, FINGERPRINT, LIMIT);
-                self.apply(vm, step);
+                let output = self.vms[vm].request_permit(self.now, run, FINGERPRINT, LIMIT);
+                self.apply(vm, output);
             }
-            QuarantineVerdict::Ask | QuarantineVerdict::Runs => {
+            QuarantineDecision::PermitRequired | QuarantineDecision::Started => {
                 self.requests.push(Request::Running(vm, run));
             }
-            QuarantineVerdict::Refused { .. } => {}
+            QuarantineDecision::Refused { .. } => {}
         }
     }
 
     fn sent(&self, vm: usize) -> Self {
         let mut world = self.clone();
         world.sends -= 1;
-        let run = world.vms[vm].new_run();
+        let run = world.vms[vm].allocate_run();
         world.begin(vm, run);
         world.sorted()
     }
@@ -135,8 +135,8 @@
         }
         let upstream = format!("{vm}-{run}").into();
         let end = RunEnd::Crashed { upstream };
-        let step = world.vms[vm].finished(world.now, run, end);
-        world.apply(vm, step);
+        let output = world.vms[vm].finish_run(world.now, run, end);
+        world.apply(vm, output);
         world.sorted()
     }
 
@@ -147,8 +147,8 @@
             .iter()
             .position(|vm| **vm == *send.to)
             .expect("it exists");
-        let step = world.vms[to].receive(world.now, &VMS[from].into(), send.message);
-        world.apply(to, step);
+        let output = world.vms[to].handle_message(world.now, &VMS[from].into(), send.message);
+        world.apply(to, output);
         world.sorted()
     }
 
@@ -161,20 +161,20 @@
         let mut world = self.clone();
         world.now = now;
         for vm in 0..self.vms.len() {
-            let step = world.vms[vm].tick(world.now);
-            world.apply(vm, step);
+            let output = world.vms[vm].tick(world.now);
+            world.apply(vm, output);
         }
         world.sorted()
     }
 
-    fn apply(&mut self, vm: usize, step: QuarantineStep) {
+    fn apply(&mut self, vm: usize, output: QuarantineOutput) {
         self.network
-            .extend(step.sends.into_iter().map(|send| (vm, send)));
-        for run in step.recorded {
+            .extend(output.messages.into_iter().map(|send| (vm, send)));
+        for run in output.recorded_runs {
             self.requests
                 .retain(|request| *request != Request::Held(vm, run));
         }
-        for PermitAnswer { permit, run } in step.answers {
+        for PermitAnswer { permit, run } in output.permit_answers {
             self.requests
                 .retain(|request| *request != Request::Asking(vm, run));
             if permit == RunPermit::Granted {
@@ -264,7 +264,7 @@
     let first = World::new(3, 3, 0, Without::Nothing).sent_and_settled(0);
     let mut world = first.crashed_and_settled().sent_and_settled(1);
     assert!(matches!(world.requests[..], [Request::Running(1, _)]));
-    world.now = Quarantine::START_WITHIN + LIMIT;
+    world.now = Quarantine::START_TIMEOUT + LIMIT;
     let world = world.ticked_at(world.now).settled();
     let refusal = world.vms[2].refusal(world.now, FINGERPRINT);
     assert_eq!(
@@ -281,8 +281,8 @@
     let first = World::new(3, 4, 0, Without::Nothing).sent_and_settled(gone);
     let mut world = first.crashed_and_settled().sent_and_settled(holder);
     let live = BTreeSet::from([VMS[holder].into(), VMS[asker].into()]);
-    world.vms[holder].set_live(world.now, live.clone());
-    world.vms[asker].set_live(world.now, live);
+    world.vms[holder].set_live_vms(world.now, live.clone());
+    world.vms[asker].set_live_vms(world.now, live);
     let world = world.sent_and_settled(asker);
     assert!(matches!(world.requests[..], [Request::Running(vm, _)] if vm == holder));
 }
--- a/crates/ebonystand-core/tests/routing.rs
+++ b/crates/ebonystand-core/tests/routing.rs
@@ -12,8 +12,8 @@
     let mut router = router(&document(&[10, 10, 2]));
     let (target, residency) = (model(), regions(&["iroise"]));
     let mut query = query(&target, &residency);
-    router.report(ms(1), "iroise-0", report(queued));
-    router.report(ms(1), "iroise-1", report(queued));
+    router.record_load_report(ms(1), "iroise-0", report(queued));
+    router.record_load_report(ms(1), "iroise-1", report(queued));
     for n in 0..200 {
         if let Ok(route) = router.route(ms(n), &query) {
             assert_eq!(&*route.region, "iroise");
@@ -72,11 +72,11 @@
     let mut router = router(&document);
     let (target, before, after) = (model(), regions(&["armor"]), regions(residency));
     let route = router.route(ms(1), &query(&target, &before)).expect("idle");
-    assert!(router.confirm(ms(1), &query(&target, &before), &route.upstream));
+    assert!(router.can_dispatch(ms(1), &query(&target, &before), &route.upstream));
     document.version = 2;
     change(&mut document);
     router.configure(ms(2), &document);
-    assert!(!router.confirm(ms(3), &query(&target, &after), &route.upstream));
+    assert!(!router.can_dispatch(ms(3), &query(&target, &after), &route.upstream));
 }
 
 /// Two documents cross on their way. The older one comes last and must not undo the newer one,
@@ -103,16 +103,16 @@
     let query = query(&target, &residency);
     for n in 0..3 {
         let route = router.route(ms(n), &query).expect("closed");
-        router.started(ms(n), &route.upstream, route.work);
-        router.finished(ms(n), &route.upstream, DispatchEnd::Failed);
+        router.record_dispatch(ms(n), &route.upstream, route.work);
+        router.record_dispatch_end(ms(n), &route.upstream, DispatchEnd::Failed);
     }
     let refusal = router.route(ms(500), &query).expect_err("open");
     assert!(refusal.retry_after.is_some());
     let route = router.route(ms(1_100), &query).expect("a probe");
-    router.started(ms(1_100), &route.upstream, route.work);
+    router.record_dispatch(ms(1_100), &route.upstream, route.work);
     assert!(router.route(ms(1_101), &query).is_err(), "one at a time");
     let first_token = ms(50);
-    router.finished(
+    router.record_dispatch_end(
         ms(1_200),
         &route.upstream,
         DispatchEnd::Answered { first_token },
@@ -132,11 +132,11 @@
         let route = route.expect("idle");
         let is_slow = &*route.upstream == "armor-0";
         slow += u32::from(is_slow);
-        router.started(ms(n * 20), &route.upstream, route.work);
+        router.record_dispatch(ms(n * 20), &route.upstream, route.work);
         let first_token = ms(if is_slow { 2_000 } else { 100 });
         let end = DispatchEnd::Answered { first_token };
-        router.finished(ms(n * 20 + 1), &route.upstream, end);
-        router.report(ms(n * 20 + 1), &route.upstream, report(0));
+        router.record_dispatch_end(ms(n * 20 + 1), &route.upstream, end);
+        router.record_load_report(ms(n * 20 + 1), &route.upstream, report(0));
     }
     assert!(slow < 50, "{slow} of 500; a fifth would be 100");
 }
@@ -160,11 +160,11 @@
             let route = router
                 .route(now, &query(&target, &residency))
                 .expect("idle");
-            router.started(now, &route.upstream, route.work);
+            router.record_dispatch(now, &route.upstream, route.work);
             cold += u32::from(&*route.upstream == "armor-new");
             if n % 25 == 24 {
                 for id in document.upstreams.keys() {
-                    router.report(now, id, report(0));
+                    router.record_load_report(now, id, report(0));
                 }
             }
         }
@@ -193,7 +193,7 @@
     let mut document = document(&[1, 1, 0]);
     document.presets.ordinary.send_away_gain_ms = threshold;
     let mut router = router(&document);
-    router.report(ms(1), "armor-0", report(queued));
+    router.record_load_report(ms(1), "armor-0", report(queued));
     let (target, residency) = (model(), regions(&["armor", "argoat"]));
     let route = router
         .route(ms(1), &query(&target, &residency))
@@ -209,7 +209,7 @@
     let mut router = router(&document(&[30, 0, 0]));
     let (target, residency) = (model(), regions(&["armor"]));
     for n in 0..30 {
-        router.report(ms(1), &format!("armor-{n}"), report(8_000));
+        router.record_load_report(ms(1), &format!("armor-{n}"), report(8_000));
     }
     let refusal = router
         .route(ms(1), &query(&target, &residency))
@@ -221,7 +221,7 @@
         ms(2_500) < retry_after && retry_after < ms(4_000),
         "{retry_after:?}"
     );
-    router.report(ms(2), "armor-17", report(1_000));
+    router.record_load_report(ms(2), "armor-17", report(1_000));
     let route = router
         .route(ms(2), &query(&target, &residency))
         .expect("found");
@@ -256,7 +256,7 @@
         prefix_key: 1,
         sequence: 9,
     };
-    router.cache_event(&first.upstream, gap);
+    router.handle_cache_event(&first.upstream, gap);
     let route = router.route(ms(3), &query).expect("idle");
     assert_ne!(route.reason, RouteReason::Affinity);
 }
@@ -267,18 +267,18 @@
 fn a_vm_takes_its_share_of_the_batches() {
     let mut router = router(&document(&[10, 0, 0]));
     assert_eq!(
-        router.slots(ms(0), &model()),
+        router.dispatch_slots(ms(0), &model()),
         100,
         "alone, with a quarter more"
     );
     for n in 0..10 {
         let id = format!("armor-{n}");
-        router.started(ms(1), &id, 300);
+        router.record_dispatch(ms(1), &id, 300);
         let running = LoadReport {
             running: 9,
             ..report(0)
         };
-        router.report(ms(2), &id, running);
+        router.record_load_report(ms(2), &id, running);
     }
-    assert_eq!(router.slots(ms(2), &model()), 12);
+    assert_eq!(router.dispatch_slots(ms(2), &model()), 12);
 }
--- a/crates/ebonystand/src/dispatch.rs
+++ b/crates/ebonystand/src/dispatch.rs
@@ -69,7 +69,7 @@
         let refusal = if self.not_started() {
             Refusal::not_run(code, message)
         } else {
-            Refusal::unknown(code, message)
+            Refusal::possibly_run(code, message)
         };
         refusal.with_retry_after(Self::RETRY_AFTER)
     }
--- a/crates/ebonystand/src/group_controller.rs
+++ b/crates/ebonystand/src/group_controller.rs
@@ -84,7 +84,7 @@
             turn += 1;
             actix_rt::time::sleep(Self::PAUSE).await;
         }
-        Err(Refusal::unknown(
+        Err(Refusal::possibly_run(
             RefusalCode::NotReady,
             "no leader answered; what was asked for may still come into force",
         )
--- a/crates/ebonystand/src/order_controller.rs
+++ b/crates/ebonystand/src/order_controller.rs
@@ -59,7 +59,7 @@
         // hear the same. Only the log knows whether an earlier request has run the order.
         if node.group.out_of_reach(node.clock.now()) {
             let message = "the log of orders is out of reach; send the order again under its key";
-            let refusal = Refusal::unknown(RefusalCode::NotReady, message);
+            let refusal = Refusal::possibly_run(RefusalCode::NotReady, message);
             return Err(refusal.with_retry_after(Self::RETRY_AFTER));
         }
         let req = Self::request(node, &call, key, call.req.deadline);
@@ -84,7 +84,7 @@
     }
 
     fn lost() -> Refusal {
-        Refusal::unknown(
+        Refusal::possibly_run(
             RefusalCode::OrderUnknown,
             "the order's task ended without an answer",
         )
--- a/crates/ebonystand/src/quarantine_controller.rs
+++ b/crates/ebonystand/src/quarantine_controller.rs
@@ -1,7 +1,7 @@
 use super::*;
 use {
     ebonystand_core::{
-        Fingerprint, Quarantine, QuarantineMessage, QuarantineStep, QuarantineVerdict, RunEnd,
+        Fingerprint, Quarantine, QuarantineDecision, QuarantineMessage, QuarantineOutput, RunEnd,
         RunId, RunPermit,
     },
     node::Node,
@@ -25,9 +25,9 @@
         fingerprint: Fingerprint,
         limit: Duration,
     ) -> Result<RunId, Refusal> {
-        let run = self.quarantine.borrow_mut().new_run();
+        let run = self.quarantine.borrow_mut().allocate_run();
         let verdict = self.try_begin(node, run, fingerprint);
-        if !matches!(verdict, QuarantineVerdict::Ask) {
+        if !matches!(verdict, QuarantineDecision::PermitRequired) {
             return Self::begun(verdict, run);
         }
         let (tx, rx) = oneshot::channel();
@@ -36,7 +36,7 @@
         let step = self
             .quarantine
             .borrow_mut()
-            .ask(now, run, fingerprint, limit);
+            .request_permit(now, run, fingerprint, limit);
         self.take(node, step);
         let permit = rx.await;
         match permit {
@@ -46,7 +46,7 @@
                 Err(Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(remaining))
             }
             Ok(RunPermit::Wait { retry_after }) => Err(Self::one_at_a_time(retry_after)),
-            Err(_) => Err(Self::one_at_a_time(Quarantine::HOLD)),
+            Err(_) => Err(Self::one_at_a_time(Quarantine::CRASH_ACK_TIMEOUT)),
         }
     }
 
@@ -55,7 +55,7 @@
     /// needs the owner's leave, which comes only once all VMs know.
     pub(crate) fn finished(&self, node: &Node, run: RunId, end: RunEnd) {
         let now = node.clock.now();
-        let step = self.quarantine.borrow_mut().finished(now, run, end);
+        let step = self.quarantine.borrow_mut().finish_run(now, run, end);
         self.take(node, step);
     }
 
@@ -69,7 +69,10 @@
 
     pub(crate) fn receive(&self, node: &Node, from: &VmId, message: QuarantineMessage) {
         let now = node.clock.now();
-        let step = self.quarantine.borrow_mut().receive(now, from, message);
+        let step = self
+            .quarantine
+            .borrow_mut()
+            .handle_message(now, from, message);
         self.take(node, step);
     }
 
@@ -80,7 +83,7 @@
     /// Tells a VM that has started anew, without its memory, of the suspects.
     pub(crate) fn restarted(&self, node: &Node, vm: &VmId) {
         let now = node.clock.now();
-        let step = self.quarantine.borrow_mut().restarted(now, vm);
+        let step = self.quarantine.borrow_mut().handle_restart(now, vm);
         self.take(node, step);
     }
 
@@ -98,15 +101,17 @@
     }
 
     pub(crate) fn set_live(&self, now: Duration, live: BTreeSet<VmId>) {
-        self.quarantine.borrow_mut().set_live(now, live);
+        self.quarantine.borrow_mut().set_live_vms(now, live);
         self.wake();
     }
 
-    fn begun(verdict: QuarantineVerdict, run: RunId) -> Result<RunId, Refusal> {
+    fn begun(verdict: QuarantineDecision, run: RunId) -> Result<RunId, Refusal> {
         match verdict {
-            QuarantineVerdict::Ask => Err(Self::one_at_a_time(Quarantine::HOLD)),
-            QuarantineVerdict::Refused { refusal } => Err(refusal),
-            QuarantineVerdict::Runs => Ok(run),
+            QuarantineDecision::PermitRequired => {
+                Err(Self::one_at_a_time(Quarantine::CRASH_ACK_TIMEOUT))
+            }
+            QuarantineDecision::Refused { refusal } => Err(refusal),
+            QuarantineDecision::Started => Ok(run),
         }
     }
 
@@ -115,22 +120,25 @@
         Refusal::not_run(RefusalCode::Overloaded, message).with_retry_after(retry_after)
     }
 
-    fn take(&self, node: &Node, step: QuarantineStep) {
-        for answer in step.answers {
+    fn take(&self, node: &Node, step: QuarantineOutput) {
+        for answer in step.permit_answers {
             if let Some(tx) = self.asking.borrow_mut().remove(&answer.run) {
                 // The caller may have left; its permit then runs out unused.
                 let _ = tx.send(answer.permit);
             }
         }
-        for send in step.sends {
+        for send in step.messages {
             node.send(&send.to, PeerMessage::Quarantine(send.message));
         }
         self.wake();
     }
 
-    fn try_begin(&self, node: &Node, run: RunId, fingerprint: Fingerprint) -> QuarantineVerdict {
+    fn try_begin(&self, node: &Node, run: RunId, fingerprint: Fingerprint) -> QuarantineDecision {
         let now = node.clock.now();
-        let verdict = self.quarantine.borrow_mut().begin(now, run, fingerprint);
+        let verdict = self
+            .quarantine
+            .borrow_mut()
+            .start_run(now, run, fingerprint);
         self.wake();
         verdict
     }
--- a/crates/ebonystand/src/queue_controller.rs
+++ b/crates/ebonystand/src/queue_controller.rs
@@ -48,14 +48,16 @@
         };
         let outcome = this.queue.borrow_mut().push(entry);
         match outcome {
-            QueueOutcome::Runs => {
+            QueueOutcome::Started => {
                 return Ok(Slot {
                     node: Rc::clone(node),
                     workspace: workspace.clone(),
                 });
             }
             QueueOutcome::Shed { refusal } => return Err(refusal),
-            QueueOutcome::QueuedFor { shed } => this.answer(shed.id, Err(FairQueue::refusal())),
+            QueueOutcome::QueuedAfterShedding { shed } => {
+                this.answer(shed.id, Err(FairQueue::refusal()))
+            }
             QueueOutcome::Queued => {}
         }
         let (tx, rx) = oneshot::channel();
@@ -94,7 +96,7 @@
                 this.queued.notified().await;
             }
             actix_rt::time::sleep(Self::TICK).await;
-            let expired = this.queue.borrow_mut().expire(node.clock.now());
+            let expired = this.queue.borrow_mut().remove_expired(node.clock.now());
             for entry in expired {
                 let message = "the deadline passed while the request waited";
                 let refusal = Refusal::not_run(RefusalCode::Deadline, message);
@@ -152,7 +154,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let this = &self.node.queue;
-        this.queue.borrow_mut().finished(&self.workspace);
+        this.queue.borrow_mut().record_dispatch_end(&self.workspace);
         QueueController::advance(&self.node);
     }
 }
--- a/crates/ebonystand/src/relay.rs
+++ b/crates/ebonystand/src/relay.rs
@@ -44,7 +44,7 @@
         if !self.node.key_valid(&self.key) {
             let message = "the key was withdrawn while the answer was being sent";
             self.end_cancelled();
-            return Some(error_event(&Refusal::unknown(
+            return Some(error_event(&Refusal::possibly_run(
                 RefusalCode::Unauthorized,
                 message,
             )));
--- a/crates/ebonystand/src/route_controller.rs
+++ b/crates/ebonystand/src/route_controller.rs
@@ -54,11 +54,13 @@
     }
 
     pub(crate) fn confirm(&self, now: Duration, query: &RouteQuery, upstream: &str) -> bool {
-        self.router.borrow().confirm(now, query, upstream)
+        self.router.borrow().can_dispatch(now, query, upstream)
     }
 
     pub(crate) fn finished(&self, now: Duration, upstream: &str, end: DispatchEnd) {
-        self.router.borrow_mut().finished(now, upstream, end);
+        self.router
+            .borrow_mut()
+            .record_dispatch_end(now, upstream, end);
         if let Some(view) = self.views.borrow_mut().get_mut(upstream) {
             view.in_flight = view.in_flight.saturating_sub(1);
         }
@@ -96,7 +98,7 @@
 
     /// Tells how many VMs of the region share its links.
     pub(crate) fn share_links(&self, vms: u32) {
-        self.router.borrow_mut().share_links(vms);
+        self.router.borrow_mut().set_sharing_vms(vms);
     }
 
     /// Dispatches to models that this VM should have under way at a time; `None` while no engine
@@ -111,11 +113,16 @@
         let targets = document.upstreams.values().flat_map(|u| u.kind.targets());
         let models = targets.filter(|target| matches!(target, Target::Model(_)));
         let models = models.collect::<BTreeSet<_>>();
-        models.iter().map(|model| router.slots(now, model)).max()
+        models
+            .iter()
+            .map(|model| router.dispatch_slots(now, model))
+            .max()
     }
 
     pub(crate) fn started(&self, now: Duration, upstream: &UpstreamId, work: Tokens) {
-        self.router.borrow_mut().started(now, upstream, work);
+        self.router
+            .borrow_mut()
+            .record_dispatch(now, upstream, work);
         let mut views = self.views.borrow_mut();
         views.entry(upstream.clone()).or_default().in_flight += 1;
     }
@@ -196,6 +203,6 @@
             slots: load.slots,
             waiting: load.waiting,
         };
-        self.router.borrow_mut().report(now, id, report);
+        self.router.borrow_mut().record_load_report(now, id, report);
     }
 }
