--- a/crates/ebonystand-core/src/pending_run_report.rs
+++ b/crates/ebonystand-core/src/pending_run_report.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// The end of a run that the owner is to know of.
+/// Report of a run's end that the owner has not confirmed yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct PendingRunReport {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) message: QuarantineMessage,
     pub(crate) sent_at: Duration,
-    /// It is sent again until then.
+    /// Time at which resending stops.
     pub(crate) resend_until: Duration,
 }
 
--- a/crates/ebonystand-core/src/permit_request.rs
+++ b/crates/ebonystand-core/src/permit_request.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A run that a VM has asked its owner for.
+/// A permit that this VM has requested from the owner of a suspect.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct PermitRequest {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) is_granted: bool,
-    /// A grant that is not used by then is void.
+    /// Time at which an unused grant becomes void.
     pub(crate) start_deadline: Duration,
 }
--- a/crates/ebonystand-core/src/quarantine/mod.rs
+++ b/crates/ebonystand-core/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams they run on.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/quarantine/outgoing_quarantine_message.rs
+++ b/crates/ebonystand-core/src/quarantine/outgoing_quarantine_message.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// A [`QuarantineMessage`] to be sent. Loss, delay and repetition are tolerated.
+/// A [`QuarantineMessage`] to send to another VM. The protocol tolerates loss, delay and
+/// duplication.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct OutgoingQuarantineMessage {
-    /// What.
+    /// Message to send.
     pub message: QuarantineMessage,
-    /// To which VM.
+    /// VM that receives the message.
     pub to: VmId,
 }
--- a/crates/ebonystand-core/src/quarantine/quarantine_decision.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_decision.rs
@@ -3,11 +3,11 @@
 /// Whether a request may be sent to an upstream now.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum QuarantineDecision {
-    /// Ask the owner first, with [`Quarantine::ask`].
+    /// The request is a suspect and needs a permit from [`Quarantine::request_permit`] first.
     PermitRequired,
-    /// It runs; end it with [`Quarantine::finished`].
+    /// The run is recorded as started and must be ended with [`Quarantine::finish_run`].
     Started,
-    /// It is quarantined.
+    /// The request is quarantined.
     Refused {
         /// Final answer to the caller.
         refusal: Refusal,
--- a/crates/ebonystand-core/src/quarantine/quarantine_message.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_message.rs
@@ -1,72 +1,73 @@
 use super::*;
 
-/// Message between the [`Quarantine`]s of two VMs.
+/// Message between the [`Quarantine`]s of two VMs. The owner of a request is the VM that rendezvous
+/// hashing of its fingerprint selects.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuarantineMessage {
-    /// To the owner: may I run this suspect?
+    /// Request to the owner for a permit to run a suspect.
     #[serde(rename = "ask")]
     RequestPermit {
-        /// The request.
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Longest time that the run can take.
+        /// Longest time that the run can take once it has started.
         limit: Duration,
-        /// Run that it would be.
+        /// Id that the sender allocated for the run.
         run: RunId,
     },
-    /// To the owner: the answer to an [`Self::RequestPermit`].
+    /// Owner's reply to a [`Self::RequestPermit`].
     Answer {
-        /// The answer.
+        /// Whether the run may start.
         permit: RunPermit,
-        /// Run that was asked for.
+        /// Run that the permit was requested for.
         run: RunId,
     },
-    /// To the owner: an upstream went down under this request.
+    /// Report to the owner that an upstream went down while it ran the request.
     Crashed {
-        /// The request.
+        /// Fingerprint of the request that was running.
         fingerprint: Fingerprint,
-        /// Other runs of it are under way on the sender.
+        /// Whether other runs of the request are in progress on the sender.
         is_running: bool,
-        /// Run that ended.
+        /// Run that ended with the crash.
         run: RunId,
-        /// The upstream.
+        /// Upstream that went down.
         upstream: UpstreamId,
     },
-    /// To the owner: a run of a suspect ended well.
+    /// Report to the owner that a run of a suspect ended without a crash.
     Ended {
-        /// The request.
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Other runs of it are under way on the sender.
+        /// Whether other runs of the request are in progress on the sender.
         is_running: bool,
         /// Run that ended.
         run: RunId,
     },
-    /// To all VMs: refuse this request.
+    /// Announcement to all VMs that the request is refused from now on.
     Quarantined {
-        /// The request.
+        /// Fingerprint of the quarantined request.
         fingerprint: Fingerprint,
-        /// For how long.
+        /// Time until the quarantine entry expires.
         remaining: Duration,
     },
-    /// To the reporter of a run's end: it is counted and, if it was a crash, all VMs that can be
-    /// reached know of it.
+    /// Owner's confirmation to the reporter of a run's end: the report is counted and, after a
+    /// crash, every reachable VM knows of it.
     Recorded {
-        /// Run that was reported.
+        /// Run whose end was reported.
         run: RunId,
     },
-    /// To all VMs: ask before running this request.
+    /// Announcement to all VMs that the request needs a permit before each run.
     Suspected {
-        /// The request.
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// For how long.
+        /// Time until the suspect entry expires.
         remaining: Duration,
     },
-    /// To the owner: I know of the suspect.
+    /// Confirmation to the owner that the sender has recorded the suspect.
     #[serde(rename = "told")]
     Acknowledged {
-        /// The request.
+        /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Runs of it are under way on the sender.
+        /// Whether runs of the request are in progress on the sender.
         is_running: bool,
     },
 }
--- a/crates/ebonystand-core/src/quarantine/quarantine_output.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_output.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Outputs of one input of a [`Quarantine`].
+/// What the caller of a [`Quarantine`] method has to send and to answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct QuarantineOutput {
-    /// Answers to runs that were asked for.
+    /// Replies to permit requests of this VM.
     pub permit_answers: Vec<PermitAnswer>,
-    /// Crash reports that all VMs know of now: the callers of these runs may be answered.
+    /// Runs whose crash report every reachable VM knows by now. Their callers may be answered.
     pub recorded_runs: Vec<RunId>,
-    /// Messages to send.
+    /// Messages to send to other VMs.
     pub messages: Vec<OutgoingQuarantineMessage>,
 }
 
-/// Answer to a run that was asked for.
+/// Reply to this VM's request for a permit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PermitAnswer {
-    /// The answer.
+    /// Whether the run may start.
     pub permit: RunPermit,
-    /// The run.
+    /// Run that the permit was requested for.
     pub run: RunId,
 }
 
--- a/crates/ebonystand-core/src/quarantine/state.rs
+++ b/crates/ebonystand-core/src/quarantine/state.rs
@@ -1,14 +1,15 @@
 use {super::*, xxhash_rust::xxh3::Xxh3Default};
 
-/// Keeps a request that crashes the upstreams it runs on from being sent again and again, through
-/// whichever VM.
+/// Stops a request that crashes the upstreams it runs on from being retried without limit,
+/// whichever VM its caller uses.
 ///
-/// A request whose upstream went down is a suspect, of which all live VMs are told; once they know,
-/// one run of it goes on at a time, by a grant of the VM that rendezvous hashing names. Its second
-/// crash quarantines it. Requests that crashed nothing cost a lookup.
+/// A request whose upstream went down becomes a suspect, and the VM that owns it by rendezvous
+/// hashing announces it to all live VMs. Once they know of it, the owner grants one run at a time.
+/// A second crash quarantines the request. A request that has crashed nothing costs one table
+/// lookup.
 ///
-/// It takes messages that are lost, late or repeated. With VMs that see different lists of live
-/// VMs, each side of a partition has an owner of its own and may lose one more upstream.
+/// Messages may be lost, late or duplicated. While VMs disagree on which VMs are live, each side of
+/// a partition has its own owner and may lose one more upstream.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Quarantine {
     pending_permits: BTreeMap<RunId, PermitRequest>,
@@ -20,16 +21,18 @@
 }
 
 impl Quarantine {
-    /// Time after which the VMs that have not confirmed a crash count as unreachable.
+    /// Time after which VMs that have not acknowledged a crash count as unreachable.
     pub const CRASH_ACK_TIMEOUT: Duration = Duration::from_millis(500);
     /// Time for which a quarantined request is refused.
     pub const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
-    /// Time for which a suspect needs a grant.
+    /// Time for which a suspect needs a permit for each run.
     pub const SUSPECT_DURATION: Duration = Duration::from_secs(600);
-    /// A grant starts its run within this time of the question, or not at all.
+    /// Time after the permit request within which a granted run must start. A run that started
+    /// later could outlast its grant, so it is refused.
     pub const START_TIMEOUT: Duration = Duration::from_secs(2);
-    /// State of a VM that has just started. Run numbers begin at `first_run`, which must be
-    /// higher than those of the VM's earlier life.
+
+    /// State of a VM that has just started. Run ids are allocated above `first_run`, which must be
+    /// higher than every id that the VM used before its restart.
     #[must_use]
     pub fn new(own_id: VmId, first_run: RunId) -> Self {
         Self {
@@ -42,9 +45,9 @@
         }
     }
 
-    /// Asks the owner for a run of a suspect that takes at most `limit`. The answer comes as
-    /// [`QuarantineOutput::permit_answers`], of this or a later step; without one in
-    /// [`Self::START_TIMEOUT`] the answer is [`RunPermit::Wait`].
+    /// Requests a permit from the owner for a run of a suspect that takes at most `limit`. The
+    /// reply arrives in [`QuarantineOutput::permit_answers`] of this or a later output. Without a
+    /// reply within [`Self::START_TIMEOUT`] it is [`RunPermit::Wait`].
     pub fn request_permit(
         &mut self,
         now: Duration,
@@ -66,8 +69,8 @@
         self.send_to_owner(now, fingerprint, message)
     }
 
-    /// Starts a run if it may start now. To be called right before the dispatch, since a crash
-    /// may have been reported while the request waited.
+    /// Starts a run if it may start now. Call it right before the dispatch, since a crash may have
+    /// been reported while the request was queued.
     pub fn start_run(
         &mut self,
         now: Duration,
@@ -88,7 +91,8 @@
         QuarantineDecision::Started
     }
 
-    /// Fingerprint of a request.
+    /// Hash of a request's workspace, target and body. Equal requests have equal fingerprints on
+    /// every VM.
     #[must_use]
     pub fn fingerprint(workspace: &str, target: &str, body: &[u8]) -> Fingerprint {
         let mut hasher = Xxh3Default::new();
@@ -99,9 +103,10 @@
         hasher.digest128()
     }
 
-    /// Ends a run. A crash is known to all VMs once the run is in [`QuarantineOutput::recorded_runs`], or
-    /// after [`Self::CRASH_ACK_TIMEOUT`]. A caller that is answered before and sends again at once may reach a VM
-    /// that does not know yet; the daemon answers at once all the same and tells when to come back.
+    /// Ends a run. A crash is known to all VMs once [`QuarantineOutput::recorded_runs`] lists the
+    /// run, or after [`Self::CRASH_ACK_TIMEOUT`]. A caller that is answered earlier and retries at
+    /// once may reach a VM that does not know of the crash yet. The daemon still answers without
+    /// this wait, with a time to retry after.
     pub fn finish_run(&mut self, now: Duration, run: RunId, end: RunEnd) -> QuarantineOutput {
         let Some(fingerprint) = self.active_runs.remove(&run) else {
             return QuarantineOutput::default();
@@ -131,13 +136,13 @@
         }
     }
 
-    /// Number of a new run.
+    /// Allocates the id of a new run.
     pub fn allocate_run(&mut self) -> RunId {
         self.next_run += 1;
         self.next_run
     }
 
-    /// Takes a message of another VM.
+    /// Handles a message from another VM.
     pub fn handle_message(
         &mut self,
         now: Duration,
@@ -149,7 +154,7 @@
         self.handle_own_messages(now, output)
     }
 
-    /// The refusal of a quarantined request, for an early filter.
+    /// Refusal of a request that is quarantined, for rejecting it before it is queued.
     #[must_use]
     pub fn refusal(&self, now: Duration, fingerprint: Fingerprint) -> Option<Refusal> {
         let suspect = self.suspects.get(now, fingerprint)?;
@@ -162,20 +167,20 @@
         })
     }
 
-    /// A VM has started anew, without its memory: tells it of the suspects that this VM owns.
+    /// Announces the suspects that this VM owns to a VM that has restarted and lost its memory.
     pub fn handle_restart(&mut self, now: Duration, vm: &VmId) -> QuarantineOutput {
         let mut output = QuarantineOutput::default();
         self.suspects.announce_to_restarted(now, vm, &mut output);
         output
     }
 
-    /// Takes the list of live VMs; equal lists make equal owners.
+    /// Sets the list of live VMs. VMs with equal lists select the same owner for each request.
     pub fn set_live_vms(&mut self, now: Duration, live: BTreeSet<VmId>) {
         self.suspects.set_live_vms(now, live);
     }
 
-    /// Time has passed: sends again what is not confirmed, and gives up on what is too old. To be
-    /// called a few times a second while [`Self::is_busy`].
+    /// Resends unconfirmed messages and drops expired entries. Call it a few times a second while
+    /// [`Self::is_busy`].
     pub fn tick(&mut self, now: Duration) -> QuarantineOutput {
         let mut output = QuarantineOutput::default();
         self.suspects.tick(now, &mut output);
@@ -184,7 +189,7 @@
         self.handle_own_messages(now, output)
     }
 
-    /// Whether there is anything for [`Self::tick`] to do.
+    /// Whether [`Self::tick`] has anything to resend or to expire.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         !self.pending_permits.is_empty()
@@ -207,8 +212,9 @@
         });
     }
 
-    /// Whether a run is under way, or has crashed its upstream without the owner knowing: a grant
-    /// in between would let a third upstream go down before the second crash is counted.
+    /// Whether a run of the request is in progress on this VM, or has crashed its upstream without
+    /// the owner's confirmation. A grant in between would let a third upstream go down before the
+    /// owner counts the second crash.
     fn is_running(&self, fingerprint: Fingerprint) -> bool {
         let mut running = self.active_runs.values();
         let mut pending_reports = self.pending_reports.values();
@@ -216,7 +222,7 @@
             || pending_reports.any(|report| report.fingerprint == fingerprint && report.is_crash())
     }
 
-    /// Reports the end of a run until the owner confirms it.
+    /// Reports the end of a run to the owner, and resends the report until the owner confirms it.
     fn report_run_end(
         &mut self,
         now: Duration,
@@ -263,7 +269,7 @@
         self.handle_own_messages(now, output)
     }
 
-    /// Takes the messages of a step that are to this VM itself.
+    /// Handles the output's messages that are addressed to this VM itself.
     fn handle_own_messages(
         &mut self,
         now: Duration,
--- a/crates/ebonystand-core/src/run_permit.rs
+++ b/crates/ebonystand-core/src/run_permit.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// Owner's answer to a VM that asks to run a suspect request.
+/// Owner's reply to a VM that requests to run a suspect.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunPermit {
-    /// The one run at a time is its.
+    /// The VM may start the run. No other run is granted until this one ends.
     Granted,
-    /// The request is quarantined.
+    /// The request is quarantined and must not run.
     Quarantined {
-        /// For how long.
+        /// Time until the quarantine entry expires.
         remaining: Duration,
     },
-    /// Another run is under way, or not all VMs know of the crash yet.
+    /// No run can be granted now: another run is in progress, or not all VMs know of the last crash
+    /// yet.
     Wait {
-        /// When asking again makes sense.
+        /// Time to wait before the next permit request.
         retry_after: Duration,
     },
 }
--- a/crates/ebonystand-core/src/suspect.rs
+++ b/crates/ebonystand-core/src/suspect.rs
@@ -1,40 +1,42 @@
 use {super::*, derive_more::Constructor};
 
-/// What one VM knows of a request that crashed upstreams. All VMs hold the state; only the owner
-/// uses the rest.
+/// State that one VM keeps of a request that crashed upstreams. All VMs hold the quarantine state
+/// and its expiry; only the owner uses the other fields.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Suspect {
-    /// Crash reports that were counted, so that a repeated one is not.
+    /// Runs whose crash report was counted. A repeated report is ignored.
     counted_runs: BTreeSet<VmRun>,
     crashes: u32,
     pub(crate) grant: Option<RunGrant>,
-    /// No grant before this time: a previous owner's grant may be in use.
+    /// Time before which no run is granted, since a run granted by a previous owner may be in
+    /// progress.
     pub(crate) handover_until: Duration,
-    /// No grant before all VMs know or this time; then those missing count as unreachable.
+    /// Time at which VMs that have not acknowledged the suspect count as unreachable. Before it, no
+    /// run is granted until all VMs have acknowledged.
     pub(crate) ack_deadline: Duration,
     pub(crate) is_quarantined: bool,
     last_crash: Option<(UpstreamId, Duration)>,
-    /// Reports to be confirmed when all VMs know.
+    /// Runs whose crash report is confirmed to the reporter once all VMs have acknowledged.
     pub(crate) pending_reports: Vec<VmRun>,
-    /// VMs that run it without a grant.
+    /// VMs with runs in progress that started without a grant.
     pub(crate) running_vms: BTreeSet<VmId>,
-    /// No grant before those runs have ended or this time.
+    /// Time from which runs that started without a grant no longer block a new grant.
     pub(crate) running_deadline: Duration,
-    /// When the VMs were last told.
+    /// Time of the last announcement to the VMs.
     pub(crate) announced_at: Duration,
-    /// VMs that have not said that they know.
+    /// VMs that have not acknowledged the suspect or quarantine announcement.
     pub(crate) unacked_vms: BTreeSet<VmId>,
     pub(crate) expires_at: Duration,
 }
 
-/// The owner's one grant of a suspect.
+/// The owner's permission for the only run of a suspect that may be in progress.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct RunGrant {
     pub(crate) expires: Duration,
     pub(crate) run: VmRun,
 }
 
-/// A run on some VM.
+/// A run, identified across VMs.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct VmRun {
     pub(crate) run: RunId,
@@ -44,17 +46,17 @@
 /// Report that a run's upstream went down.
 #[derive(Clone, Constructor, Debug)]
 pub(crate) struct CrashReport {
-    /// Other runs of the request are under way on the reporter.
+    /// Whether other runs of the request are in progress on the reporting VM.
     pub(crate) is_running: bool,
     pub(crate) run: VmRun,
     pub(crate) upstream: UpstreamId,
 }
 
 impl Suspect {
-    /// Crashes that quarantine a request.
+    /// Number of crashes that quarantines a request.
     const QUARANTINE_THRESHOLD: u32 = 2;
-    /// Reports about one upstream within this time are about one crash, unless the run was
-    /// granted: that one started after the crash before it.
+    /// Reports about one upstream within this time count as one crash, except for a granted run,
+    /// which started after the previous crash.
     const SAME_CRASH_WINDOW: Duration = Duration::from_secs(5);
 
     pub(crate) fn new(expires_at: Duration) -> Self {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Counts a crash report once.
+    /// Counts a crash report, unless this run's report was counted before.
     pub(crate) fn record_crash(&mut self, now: Duration, run: &VmRun, upstream: &UpstreamId) {
         if !self.counted_runs.insert(run.clone()) {
             return;
@@ -90,7 +92,7 @@
         self.last_crash = Some((upstream.clone(), now));
     }
 
-    /// Ends the grant if it is that run's.
+    /// Removes the grant if it belongs to `run`. Returns whether it did.
     pub(crate) fn release_grant(&mut self, run: &VmRun) -> bool {
         let was_granted = self.grant.as_ref().is_some_and(|grant| grant.run == *run);
         if was_granted {
@@ -99,7 +101,7 @@
         was_granted
     }
 
-    /// Ends a grant that has expired, as a crash.
+    /// Removes a grant whose run is overdue and counts it as a crash. Returns whether it did.
     pub(crate) fn expire_grant(&mut self, now: Duration) -> bool {
         let is_expired = self
             .grant
@@ -112,7 +114,7 @@
         is_expired
     }
 
-    /// Whether a VM may be granted the next run.
+    /// Whether the owner may grant the next run to a VM.
     pub(crate) fn can_grant(&self, now: Duration) -> bool {
         self.grant.is_none()
             && now >= self.handover_until
@@ -120,12 +122,13 @@
             && (self.running_vms.is_empty() || now >= self.running_deadline)
     }
 
-    /// Whether all VMs that can be reached know of it.
+    /// Whether every reachable VM has acknowledged the suspect.
     pub(crate) fn is_known_everywhere(&self, now: Duration) -> bool {
         self.unacked_vms.is_empty() || now >= self.ack_deadline
     }
 
-    /// Whether there is something to send again.
+    /// Whether an announcement is unacknowledged or a crash report unconfirmed, and has to be
+    /// resent.
     pub(crate) fn has_unacked_messages(&self) -> bool {
         !self.unacked_vms.is_empty() || !self.pending_reports.is_empty()
     }
--- a/crates/ebonystand-core/src/suspect_table.rs
+++ b/crates/ebonystand-core/src/suspect_table.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Bounded table of the [`Suspect`]s that a VM knows, with what the owner of a suspect decides.
+/// Bounded table of the [`Suspect`]s that a VM knows, with the decisions of a suspect's owner.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct SuspectTable {
     live_vms: BTreeSet<VmId>,
@@ -9,11 +9,12 @@
 }
 
 impl SuspectTable {
-    /// Longest run that an owner waits for when it takes over from another.
+    /// Longest run that an owner waits for. It limits the wait after a change of owner, for runs
+    /// that started without a grant, and for a granted run.
     const MAX_RUN_DURATION: Duration = Duration::from_secs(120);
-    /// Suspects that are remembered; past it the one that would be forgotten first goes.
+    /// Largest number of suspects in the table. Beyond it the entry that expires first is evicted.
     const MAX_SUSPECTS: usize = 4_096;
-    /// Time between two sendings of a message that is not confirmed.
+    /// Interval between two sends of an unconfirmed message.
     pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
     pub(crate) fn new(own_id: VmId) -> Self {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Decides on a question for a run.
+    /// Decides whether a VM may run a suspect now.
     pub(crate) fn answer_permit_request(
         &mut self,
         now: Duration,
@@ -36,7 +37,8 @@
         let was_tracked = self.get(now, fingerprint).is_some();
         let suspect = self.track_until(now, fingerprint, now + Quarantine::SUSPECT_DURATION);
         if !was_tracked {
-            // This VM lost its memory: a grant that it gave before may be in use.
+            // This VM has lost its memory, or evicted the suspect: a run that it granted before may
+            // be in progress.
             suspect.handover_until = now + Self::MAX_RUN_DURATION;
         }
         if suspect.is_quarantined {
@@ -58,7 +60,8 @@
         RunPermit::Granted
     }
 
-    /// Confirms the crash reports of a suspect if all VMs that can be reached know of it.
+    /// Confirms the crash reports of a suspect to their reporters once every reachable VM has
+    /// acknowledged it.
     pub(crate) fn confirm_reports(
         &mut self,
         now: Duration,
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Counts a crash and tells all VMs. `runs_here`: this VM runs the request too.
+    /// Counts a crash and announces it to all VMs. `runs_here` says whether this VM has runs of the
+    /// request in progress.
     pub(crate) fn count_crash(
         &mut self,
         now: Duration,
@@ -105,7 +109,7 @@
         self.announce(now, fingerprint, output);
     }
 
-    /// Ends a run that did not crash its upstream.
+    /// Records the end of a run that did not crash its upstream.
     pub(crate) fn end_run(&mut self, fingerprint: Fingerprint, run: &VmRun, is_running: bool) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.release_grant(run);
@@ -119,7 +123,7 @@
             .filter(|suspect| suspect.expires_at > now)
     }
 
-    /// A VM says that it knows of a suspect.
+    /// Records that a VM has acknowledged a suspect.
     pub(crate) fn handle_acknowledgement(
         &mut self,
         now: Duration,
@@ -143,7 +147,7 @@
         RendezvousHash::new(fingerprint as u64).select_owner(&self.live_vms)
     }
 
-    /// The suspect, remembered at least until `until`.
+    /// Returns the suspect's entry, inserted if missing, with an expiry not before `until`.
     pub(crate) fn track_until(
         &mut self,
         now: Duration,
@@ -162,7 +166,7 @@
         suspect
     }
 
-    /// Tells a VM that has lost its memory of the suspects that this VM owns.
+    /// Announces the suspects that this VM owns to a VM that has lost its memory.
     pub(crate) fn announce_to_restarted(
         &mut self,
         now: Duration,
@@ -184,8 +188,8 @@
         }
     }
 
-    /// Takes the list of live VMs. An owner that takes a suspect over waits for the previous
-    /// owner's grant, which it does not know.
+    /// Sets the list of live VMs. A VM that becomes the owner of a suspect grants nothing until any
+    /// run granted by the previous owner must have ended, since it does not know of that grant.
     pub(crate) fn set_live_vms(&mut self, now: Duration, mut live_vms: BTreeSet<VmId>) {
         live_vms.insert(self.own_id.clone());
         for (fingerprint, suspect) in &mut self.suspects {
@@ -200,7 +204,8 @@
         self.live_vms = live_vms;
     }
 
-    /// Tells the VMs that have not confirmed, and confirms if all have.
+    /// Announces a suspect to the VMs that have not acknowledged it, and confirms its crash reports
+    /// if all have.
     pub(crate) fn announce(
         &mut self,
         now: Duration,
@@ -228,8 +233,9 @@
         self.confirm_reports(now, fingerprint, output);
     }
 
-    /// Time has passed. A grant whose holder never told its end counts as a crash: the holder
-    /// may have been cut off or killed with it.
+    /// Expires suspects and grants, and resends announcements that are due. A grant whose run was
+    /// never reported as ended counts as a crash: its VM may have been killed or partitioned
+    /// together with the run.
     pub(crate) fn tick(&mut self, now: Duration, output: &mut QuarantineOutput) {
         self.suspects.retain(|_, suspect| suspect.expires_at > now);
         let mut due = Vec::new();
--- a/crates/ebonystand-core/tests/quarantine.rs
+++ b/crates/ebonystand-core/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search over the real quarantine code of three VMs: every order of sends, crashes,
-//! deliveries, losses and resends, to a stated bound.
+//! Exhaustive search over the quarantine state machines of three VMs: every order of sends,
+//! crashes, deliveries, losses and resends, up to a bound on each.
 
 use {
     ebonystand_core::*,
@@ -17,21 +17,22 @@
 const LIMIT: Duration = Duration::from_secs(60);
 const VMS: [&str; 3] = ["vm-0", "vm-1", "vm-2"];
 
-/// What the gateway leaves out, so that the search shows that it is needed.
+/// Safeguard that the simulated gateway leaves out, to show that the search finds the resulting
+/// fault.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Without {
-    /// A suspect is sent without asking its owner.
+    /// Suspects run without a permit from their owner.
     Ask,
-    /// The caller is answered before the crash is recorded.
+    /// The caller is answered before the crash is recorded on all VMs.
     Hold,
     Nothing,
 }
 
-/// A request of the caller, on the VM of that index.
+/// A request of the caller, with the index of its VM and its run.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Request {
     Asking(usize, RunId),
-    /// It crashed its upstream; its caller has no answer yet.
+    /// The run crashed its upstream, and the caller has no answer yet.
     Held(usize, RunId),
     Running(usize, RunId),
 }
@@ -41,11 +42,11 @@
     crashes: u32,
     has_lost: bool,
     losses: u32,
-    /// Messages under way, with the index of their sender.
+    /// Messages in flight, each with the index of its sender.
     network: Vec<(usize, OutgoingQuarantineMessage)>,
     now: Duration,
     requests: Vec<Request>,
-    /// Requests that the caller may still send.
+    /// Number of requests that the caller may still send.
     sends: u32,
     vms: Vec<Quarantine>,
     without: Without,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Every world that can follow. At most two requests are open at a time.
+    /// All successor states. At most two requests are open at a time.
     fn next(&self) -> Vec<Self> {
         let mut next = Vec::new();
         if self.sends > 0 && self.requests.len() < 2 {
@@ -125,7 +126,7 @@
         world.sorted()
     }
 
-    /// Each run crashes an upstream of its own: the worst case.
+    /// Crashes a run's upstream. Each run has an upstream of its own, which is the worst case.
     fn crashed(&self, at: usize, vm: usize, run: RunId) -> Self {
         let mut world = self.clone();
         world.crashes += 1;
@@ -152,7 +153,7 @@
         world.sorted()
     }
 
-    /// Time for all to send again what is not confirmed.
+    /// Advances the clock so far that all VMs resend what is unconfirmed.
     fn ticked(&self) -> Self {
         self.ticked_at(Duration::from_millis(200))
     }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Delivers all messages.
+    /// Delivers all messages in flight.
     fn settled(mut self) -> Self {
         while !self.network.is_empty() {
             self = self.delivered(0);
@@ -213,7 +214,7 @@
     }
 }
 
-/// Worlds seen, and the shortest way to a third crash if there is one.
+/// Number of states visited, and the shortest path to a third crash if there is one.
 fn search(start: &World) -> (usize, Option<Vec<World>>) {
     let seen = Cell::new(0);
     let path = bfs(
@@ -227,9 +228,9 @@
     (seen.get(), path)
 }
 
-/// A request crashes each upstream that runs it, and its caller sends it again through any VM,
-/// up to two at a time, while messages between the VMs come in any order, or are lost and sent
-/// again. Two upstreams go down, and never a third.
+/// A request that crashes every upstream it runs on takes down at most two, although its caller
+/// sends it again through any VM, up to two at a time, and messages between VMs are reordered, lost
+/// and resent.
 #[rstest]
 #[case::any_order(3, 6, 0)]
 #[case::one_loss_and_resend(2, 5, 1)]
@@ -246,8 +247,8 @@
     assert_eq!(path.map(|path| path.len()), None);
 }
 
-/// The same caller, when the VMs answer before a crash is recorded, or send a suspect without
-/// asking: the search must find the third crash, or it proves nothing.
+/// The search finds a third crash when a safeguard is missing: when callers are answered before a
+/// crash is recorded, or suspects run without a permit. Otherwise the search would prove nothing.
 #[rstest]
 fn without_a_safeguard_a_third_upstream_goes_down(
     #[values(Without::Ask, Without::Hold)] without: Without,
@@ -257,8 +258,9 @@
     println!("{without:?}: third crash after {steps} steps, {seen} worlds");
 }
 
-/// A VM gets the grant for a suspect and is killed with its run, or cut off. Nobody tells how the
-/// run ended: it must count as a crash, or the next grant could cost a third upstream.
+/// A VM that holds the grant for a suspect is killed with its run, or partitioned, and nobody
+/// reports the run's end. The run must count as a crash, or the next grant could take down a third
+/// upstream.
 #[test]
 fn a_run_whose_vm_vanished_counts_as_a_crash() {
     let first = World::new(3, 3, 0, Without::Nothing).sent_and_settled(0);
@@ -273,8 +275,8 @@
     );
 }
 
-/// The owner of a suspect leaves while another VM runs it by its grant. The new owner does not
-/// know of the grant and must not give a second one before that run has ended.
+/// The owner of a suspect leaves while another VM runs it under the owner's grant. The new owner
+/// does not know of that grant and must not give a second one before the run has ended.
 #[rstest]
 fn a_new_owner_waits_for_the_old_ones_grant(#[values(0, 1, 2)] gone: usize) {
     let (holder, asker) = ((gone + 1) % 3, (gone + 2) % 3);
