--- a/crates/ebonystand-core/src/engine_report.rs
+++ b/crates/ebonystand-core/src/engine_report.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// What an engine last reported.
+/// State of an engine by its last report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineReport {
-    /// It gets no new work.
+    /// Whether the engine is leaving and gets no new work.
     pub leaving: bool,
-    /// Models that it has loaded, each with the requests that it runs for it.
+    /// Number of running requests of each loaded model.
     pub models: BTreeMap<ModelId, u64>,
-    /// When it reported.
+    /// Time at which the report was made.
     pub reported_at: Duration,
-    /// Room for weights, taken or not, in bytes.
+    /// Memory for weights in bytes, both used and free.
     pub weight_capacity: u64,
 }
--- a/crates/ebonystand-core/src/fence/fence_command.rs
+++ b/crates/ebonystand-core/src/fence/fence_command.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// Entry of the replicated log that a [`FenceRegistry`] is made from.
+/// Command in the replicated log that changes a [`FenceRegistry`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FenceCommand {
-    /// A process asks for a role.
+    /// A process claims a role.
     Claim {
-        /// Number of the holder that it means to succeed; 0 if there was none.
+        /// Fencing token of the holder that the claim succeeds; 0 if there was none.
         after: Fence,
-        /// Who asks.
+        /// Process that claims the role.
         holder: FenceHolder,
-        /// The role.
+        /// Role that is claimed.
         role: RoleId,
     },
-    /// The holder shows that it lives.
+    /// The holder of a role renews its lease.
     Renew {
-        /// Its number.
+        /// Fencing token of the holder.
         fence: Fence,
-        /// Number of the renewal, equal in each resend of it and above 0.
+        /// Sequence number of the renewal, above 0. A resend has the same number.
         renewal: u64,
-        /// The role.
+        /// Role that is renewed.
         role: RoleId,
     },
 }
--- a/crates/ebonystand-core/src/fence/fence_grant.rs
+++ b/crates/ebonystand-core/src/fence/fence_grant.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Who holds a role.
+/// Current grant of a role to a holder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceGrant {
-    /// Number of the holder.
+    /// Fencing token of the holder.
     pub fence: Fence,
-    /// The holder.
+    /// Process that holds the role.
     pub holder: FenceHolder,
-    /// Number of the last renewal.
+    /// Sequence number of the last renewal; 0 before the first one.
     pub renewal: u64,
 }
--- a/crates/ebonystand-core/src/fence/fence_holder.rs
+++ b/crates/ebonystand-core/src/fence/fence_holder.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Process that may hold a role.
+/// One start of a process that can hold a role.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{vm}/{incarnation}")]
 pub struct FenceHolder {
-    /// Number of the process, drawn at each of its starts.
+    /// Random number that the process draws at each start.
     pub incarnation: Incarnation,
-    /// VM that it runs on.
+    /// VM that the process runs on.
     pub vm: VmId,
 }
--- a/crates/ebonystand-core/src/fence/fence_outcome.rs
+++ b/crates/ebonystand-core/src/fence/fence_outcome.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// What became of a [`FenceCommand`].
+/// Result of applying a [`FenceCommand`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FenceOutcome {
-    /// The process that asked holds the role.
+    /// The process that sent the command holds the role.
     Held {
-        /// Its number.
+        /// Fencing token of the holder.
         fence: Fence,
-        /// Renewal that is answered; 0 if it is the claim.
+        /// Sequence number of the renewal that this answers; 0 for a claim.
         renewal: u64,
     },
-    /// Another process does, or none.
+    /// Another process holds the role, or nobody does.
     Lost {
-        /// Number of the last holder.
+        /// Fencing token of the last holder; 0 if there was none.
         fence: Fence,
     },
 }
--- a/crates/ebonystand-core/src/fence/fence_permit.rs
+++ b/crates/ebonystand-core/src/fence/fence_permit.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Right to give one order to one upstream, under a fencing number.
+/// Permission to send one order to one upstream under a fencing token.
 #[derive(Debug)]
 #[must_use]
 pub struct FencePermit {
@@ -9,11 +9,13 @@
 }
 
 impl FencePermit {
-    /// Uses it, right before the order's first byte goes out: the number to send with the order.
+    /// Consumes the permit right before the order's first byte is sent, and returns the fencing
+    /// token to send with the order.
     ///
     /// # Errors
     ///
-    /// [`FencedRoleError::LeaseExpired`] if the process was frozen for longer than its lease.
+    /// [`FencedRoleError::LeaseExpired`] if the lease ended in the meantime, such as when the
+    /// process was frozen for longer than its lease.
     pub fn redeem(self, now: Duration) -> Result<Fence, FencedRoleError> {
         if now >= self.valid_until {
             return Err(FencedRoleError::LeaseExpired);
--- a/crates/ebonystand-core/src/fence/fence_registry.rs
+++ b/crates/ebonystand-core/src/fence/fence_registry.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Holders of roles, applied from a replicated log.
+/// Current holder of each role, built from the replicated log.
 ///
-/// A role's number grows by one with each holder and never falls. It names one holder for ever.
+/// A role's fencing token grows by one with each holder and never decreases. A token identifies one
+/// holder permanently.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceRegistry {
     grants: BTreeMap<RoleId, FenceGrant>,
 }
 
 impl FenceRegistry {
-    /// Applies a committed command.
+    /// Applies a committed command and returns its result.
     pub fn apply(&mut self, command: &FenceCommand) -> FenceOutcome {
         match command {
             FenceCommand::Claim {
@@ -25,15 +26,15 @@
         }
     }
 
-    /// Who holds a role.
+    /// Current grant of a role, if it was ever claimed.
     #[must_use]
     pub fn get(&self, role: &str) -> Option<&FenceGrant> {
         self.grants.get(role)
     }
 
-    /// Of two processes that mean to succeed one holder, the first in the log does. A claim names
-    /// whom it succeeds: one that was on its way for long would else take the role from a holder
-    /// that its sender has never heard of.
+    /// Grants the role to the first claim in the log that succeeds the current holder. A claim
+    /// names the holder that it succeeds. Otherwise a long-delayed claim could take the role from a
+    /// holder that its sender has never heard of.
     fn claim(&mut self, after: Fence, holder: &FenceHolder, role: &RoleId) -> FenceOutcome {
         let last = self.grants.get(role);
         let fence = last.map_or(0, |grant| grant.fence);
--- a/crates/ebonystand-core/src/fence/mod.rs
+++ b/crates/ebonystand-core/src/fence/mod.rs
@@ -1,4 +1,4 @@
-//! Fencing of roles that one process holds at a time.
+//! Fencing of roles that at most one process holds at a time.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/fenced_role.rs
+++ b/crates/ebonystand-core/src/fenced_role.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// One VM's part in a role whose holder alone gives orders to upstreams.
+/// One VM's view of a role whose sole holder may send orders to upstreams.
 ///
-/// An upstream that checks fencing numbers refuses a former holder's order by itself. For one
-/// that does not, a successor waits until its predecessor's lease has run out and the
-/// predecessor's last order has taken effect, then reads the upstream's state, then orders.
+/// An upstream that checks fencing tokens rejects orders of a former holder itself. For an upstream
+/// that does not, a new holder waits until its predecessor's lease has expired and the
+/// predecessor's last order has taken effect, then reads the upstream's state, and only then sends
+/// orders.
 #[derive(Debug)]
 pub struct FencedRole {
     holder: FenceHolder,
@@ -17,7 +18,7 @@
 }
 
 impl FencedRole {
-    /// A VM that does not hold the role.
+    /// Creates the view of a VM that does not hold the role.
     #[must_use]
     pub fn new(
         now: Duration,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Number under which this VM holds the role, if it does.
+    /// Fencing token under which this VM holds the role, if it does.
     #[must_use]
     pub fn fence(&self) -> Option<Fence> {
         match self.phase {
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Takes the registry as this VM has applied it; call it when the registry has changed.
+    /// Updates the view from the registry as applied on this VM. Call it when the registry has
+    /// changed.
     pub fn observe_registry(&mut self, now: Duration, registry: &FenceRegistry) {
         let seen = registry
             .get(&self.role)
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Takes what became of a command that this VM proposed.
+    /// Handles the result of a command that this VM proposed.
     pub fn handle_outcome(&mut self, now: Duration, outcome: &FenceOutcome) {
         match (&self.phase, *outcome) {
             (FencedRolePhase::Claiming { after }, FenceOutcome::Held { fence, .. })
@@ -88,11 +90,11 @@
         }
     }
 
-    /// Asks to give one order to `upstream`.
+    /// Returns a permit to send one order to `upstream`.
     ///
     /// # Errors
     ///
-    /// [`FencedRoleError`] if this VM may not order now.
+    /// [`FencedRoleError`] if this VM may not send orders to the upstream now.
     pub fn authorize_order(
         &self,
         now: Duration,
@@ -123,7 +125,8 @@
         })
     }
 
-    /// Does what is due: the command to propose, if any. Call it at [`next_poll_at`](Self::next_poll_at).
+    /// Returns the command to propose, if one is due. Call it at
+    /// [`next_poll_at`](Self::next_poll_at).
     pub fn poll(&mut self, now: Duration) -> Option<FenceCommand> {
         if now < self.next_poll_at() {
             return None;
@@ -136,8 +139,9 @@
                 renewal_sent,
                 ..
             } => {
-                // A renewal without an answer is sent again under its number, so that its answer
-                // is never taken for one to a later renewal, which may have come too late.
+                // An unanswered renewal is resent under the same number. With a new number, a late
+                // answer to the first one could be taken for the answer to a later renewal, which
+                // may not have been applied in time.
                 if renewal_sent.is_none() {
                     *renewal += 1;
                     *renewal_sent = Some(now);
@@ -156,9 +160,10 @@
         }
     }
 
-    /// An upstream's state was read, by a request that was sent at `asked`.
+    /// Records that an upstream's state was read by a request sent at `asked`.
     ///
-    /// A read from before the predecessor's last order took effect shows a state that is gone.
+    /// A read from before the predecessor's last order took effect does not count, since that order
+    /// may have changed the state.
     pub fn record_state_read(&mut self, asked: Duration, upstream: UpstreamId) {
         if matches!(self.phase, FencedRolePhase::Holding { orders_open_at, .. } if asked >= orders_open_at)
         {
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Moment of the next [`poll`](Self::poll).
+    /// Time at which [`poll`](Self::poll) has to be called next.
     #[must_use]
     pub fn next_poll_at(&self) -> Duration {
         match self.phase {
@@ -187,10 +192,10 @@
         }
     }
 
-    /// Holds the role from now on, and orders once a renewal is answered.
+    /// Enters the holding phase. Orders are possible once a renewal is answered.
     ///
-    /// Every renewal of the predecessor that counts lies before the claim in the log, so it was
-    /// sent before now, and the predecessor's lease ends within one lease from now.
+    /// Every renewal of the predecessor that counts precedes the claim in the log, so it was sent
+    /// before now. The predecessor's lease therefore ends within one lease time from now.
     fn start_holding(&mut self, now: Duration, fence: Fence) {
         let wait = if fence == 1 {
             Duration::ZERO
@@ -208,10 +213,10 @@
         };
     }
 
-    /// Takes the answer to a renewal, if it is the last one that was sent.
+    /// Extends the lease after the answer to a renewal, if it was the last one sent.
     ///
-    /// The lease is counted from when that one was sent first: the log may have passed the role on
-    /// right after it took the renewal, long before this answer came.
+    /// The lease runs from the time at which that renewal was first sent: the log may have granted
+    /// the role to a successor right after it applied the renewal, long before this answer arrived.
     fn handle_renewal(&mut self, answered: u64) {
         let FencedRolePhase::Holding {
             lease_end,
--- a/crates/ebonystand-core/src/fenced_role_phase.rs
+++ b/crates/ebonystand-core/src/fenced_role_phase.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// What an [`FencedRole`] is.
+/// Phase of a [`FencedRole`] on one VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum FencedRolePhase {
-    /// It has asked for the role.
+    /// The VM has claimed the role and waits for the result.
     Claiming {
-        /// Whom it means to succeed.
+        /// Fencing token of the holder that the claim succeeds.
         after: Fence,
     },
-    /// It holds the role.
+    /// The VM holds the role.
     Holding {
-        /// Its number.
+        /// Fencing token of this VM.
         fence: Fence,
-        /// End of its lease.
+        /// Time at which the lease expires.
         lease_end: Duration,
-        /// When the predecessor's last order has taken effect.
+        /// Time from which the predecessor's orders can no longer take effect.
         orders_open_at: Duration,
-        /// Number of the last renewal that was sent.
+        /// Sequence number of the last renewal.
         renewal: u64,
-        /// When it was sent first, while it has no answer.
+        /// Time at which the last renewal was first sent, while it is unanswered.
         renewal_sent: Option<Duration>,
     },
-    /// It watches another holder.
+    /// The VM does not hold the role and watches its holder.
     Standby {
-        /// When the holder last showed that it lives, as seen here.
+        /// Time at which this VM last saw the holder's grant or renewal change.
         since: Duration,
     },
 }
--- a/crates/ebonystand-core/src/fenced_role_timings.rs
+++ b/crates/ebonystand-core/src/fenced_role_timings.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Times of the lease of an [`FencedRole`]; equal on all VMs.
+/// Lease timings of a [`FencedRole`]. They must be equal on all VMs.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FencedRoleTimings {
-    /// Bound on how far two VMs' clocks drift from true time, in thousandths; below 1,000.
+    /// Bound on the drift of a VM's clock from true time, in thousandths. It must be below 1,000.
     pub drift_permille: u32,
-    /// Time for which a holder orders after it sent the renewal that was last acknowledged.
+    /// Duration of the lease, from the time at which the last answered renewal was first sent.
     pub lease: Duration,
-    /// Longest time between the moment an order is checked and the one it takes effect upstream.
+    /// Longest time from the check of an order's permit until the order takes effect at the
+    /// upstream.
     pub order: Duration,
-    /// Time between two renewals.
+    /// Interval between two renewals.
     pub renew: Duration,
 }
 
@@ -25,8 +26,9 @@
 }
 
 impl FencedRoleTimings {
-    /// Wait of a successor, by its own clock, after which no order of its predecessor can still
-    /// take effect: the lease and the longest order by a slow clock, measured with a fast one.
+    /// Time that a new holder waits, by its own clock, until no order of its predecessor can still
+    /// take effect. It is the lease and the longest order as a slow clock measures them, converted
+    /// to a fast clock.
     #[must_use]
     pub fn succession_wait(&self) -> Duration {
         let drift = self.drift_permille.min(999);
--- a/crates/ebonystand-core/src/model_replica.rs
+++ b/crates/ebonystand-core/src/model_replica.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// A model on an engine.
+/// Replica of a model on an engine.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{model} on {engine}")]
 pub struct ModelReplica {
-    /// The engine.
+    /// Engine that has or should load the model.
     pub engine: UpstreamId,
-    /// The model.
+    /// Model that is replicated.
     pub model: ModelId,
 }
 
 impl ModelReplica {
-    /// That model on that engine.
+    /// Creates the replica of `model` on `engine`, cloning both ids.
     #[must_use]
     pub fn new(engine: &UpstreamId, model: &ModelId) -> Self {
         Self {
--- a/crates/ebonystand-core/src/model_requirements.rs
+++ b/crates/ebonystand-core/src/model_requirements.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// What a model needs in a region.
+/// Requirements of a model in one region.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelRequirements {
-    /// Size of its weights, in bytes.
+    /// Size of the model's weights in bytes.
     pub bytes: u64,
-    /// Replicas below which it never falls by an order.
+    /// Smallest number of replicas. No order reduces the replicas below it.
     pub floor: usize,
-    /// Tokens a second that one replica serves.
+    /// Tokens per second that one replica serves.
     pub tokens_per_replica: Tokens,
 }
--- a/crates/ebonystand-core/src/placement/mod.rs
+++ b/crates/ebonystand-core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which engine loads which model.
+//! Placement: which engine of a region loads which model.
 
 use super::*;
 
--- a/crates/ebonystand-core/src/placement/placement_action.rs
+++ b/crates/ebonystand-core/src/placement/placement_action.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// What a [`PlacementOrder`] asks for.
+/// Change to a model replica that a [`PlacementOrder`] requests.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum PlacementAction {
-    /// The engine loads the model.
+    /// The engine loads the model's weights.
     #[display("load")]
     Load,
-    /// Requests go to a retired replica again.
+    /// A retired replica receives new requests again.
     #[display("restore")]
     Restore,
-    /// No new request goes to the replica, which finishes what it runs.
+    /// The replica receives no new requests and finishes those that it runs.
     #[display("retire")]
     Retire,
-    /// The engine unloads the model.
+    /// The engine unloads the model's weights.
     #[display("unload")]
     Unload,
 }
--- a/crates/ebonystand-core/src/placement/placement_order.rs
+++ b/crates/ebonystand-core/src/placement/placement_order.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// An order of a [`PlacementController`]; its text is the log line.
+/// Order of a [`PlacementController`] to change one replica. Its `Display` text is the log line.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[display("{action} {replica}: {reason}")]
 pub struct PlacementOrder {
-    /// What to do.
+    /// Change to the replica.
     pub action: PlacementAction,
-    /// Why.
+    /// Reason for the change, as logged.
     pub reason: PlacementReason,
-    /// With what.
+    /// Engine and model that the order is about.
     pub replica: ModelReplica,
 }
--- a/crates/ebonystand-core/src/placement/placement_reason.rs
+++ b/crates/ebonystand-core/src/placement/placement_reason.rs
@@ -1,45 +1,45 @@
 use super::*;
 
-/// Why a [`PlacementOrder`] is given.
+/// Reason for a [`PlacementOrder`].
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum PlacementReason {
-    /// Smoothed demand is above what the replicas should carry.
+    /// The smoothed demand exceeds the share of the replicas' capacity that they should serve.
     #[display("{demand} tokens/s for {replicas} replicas")]
     Demand {
-        /// Smoothed demand, in tokens a second.
+        /// Smoothed demand in tokens per second.
         demand: Tokens,
-        /// Replicas before the order.
+        /// Number of replicas before the order.
         replicas: usize,
     },
-    /// A retired replica runs nothing any more.
+    /// A retired replica runs no more requests.
     #[display("runs nothing")]
     Drained,
     /// The model has fewer replicas than its floor.
     #[display("{replicas} replicas for a floor of {floor}")]
     Floor {
-        /// The floor.
+        /// Smallest number of replicas by the settings.
         floor: usize,
-        /// Replicas before the order.
+        /// Number of replicas before the order.
         replicas: usize,
     },
-    /// Its engine is leaving, and the others carry the model.
+    /// The replica's engine is leaving, and replicas on other engines carry the model.
     #[display("engine leaves, {replicas} replicas elsewhere")]
     Leaving {
-        /// Warm replicas on other engines.
+        /// Number of warm replicas on other engines.
         replicas: usize,
     },
-    /// Its room is needed by a model below its floor.
+    /// The replica's memory is needed for a model below its floor.
     #[display("room for {model}")]
     Room {
-        /// That model.
+        /// Model that needs the memory.
         model: ModelId,
     },
-    /// One replica less carries the smoothed demand.
+    /// The smoothed demand needs one replica less.
     #[display("{demand} tokens/s for {replicas} replicas")]
     Surplus {
-        /// Smoothed demand, in tokens a second.
+        /// Smoothed demand in tokens per second.
         demand: Tokens,
-        /// Replicas before the order.
+        /// Number of replicas before the order.
         replicas: usize,
     },
 }
--- a/crates/ebonystand-core/src/placement/placement_settings.rs
+++ b/crates/ebonystand-core/src/placement/placement_settings.rs
@@ -4,27 +4,28 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSettings {
-    /// Share of what the replicas serve, in thousandths, above which one is added.
+    /// Share of the replicas' capacity, in thousandths. A replica is added when demand exceeds it.
     pub add_above_permille: u64,
-    /// Share of what the replicas but one serve, in thousandths, below which one is removed.
-    /// Well below [`add_above_permille`](Self::add_above_permille): the difference is the dead
-    /// band, in which the number of replicas stays as it is.
+    /// Share of the capacity of all replicas but one, in thousandths. A replica is removed when
+    /// demand falls below it. It should be well below
+    /// [`add_above_permille`](Self::add_above_permille): between the two lies the dead band, in
+    /// which the number of replicas does not change.
     pub remove_below_permille: u64,
-    /// What each model needs; others are left alone.
+    /// Requirements of each model that is placed. Models that are not listed are left as they are.
     pub models: BTreeMap<ModelId, ModelRequirements>,
-    /// Time for which a new controller watches before it removes for want of demand, and for which
-    /// an engine that failed to load a model is not asked again.
+    /// Time for which a new controller observes demand before it removes surplus replicas. An
+    /// engine that failed to load a model is not asked to load it again for the same time.
     pub settle: Duration,
-    /// Time constant of the smoothing of demand.
+    /// Time constant of the exponential smoothing of demand.
     pub smoothing: Duration,
-    /// Age of a report above which its engine counts as lost.
+    /// Age of an engine's last report above which the engine counts as lost.
     pub stale: Duration,
-    /// Bytes a second that the weight store gives the region.
+    /// Rate in bytes per second at which the weight store serves the region.
     pub store_rate: u64,
 }
 
 impl PlacementSettings {
-    /// Time that a model's weights take from the store.
+    /// Time that the store takes to transfer a model's weights.
     #[must_use]
     pub fn load_duration(&self, requirements: &ModelRequirements) -> Duration {
         Duration::from_secs_f64(requirements.bytes as f64 / self.store_rate.max(1) as f64)
--- a/crates/ebonystand-core/src/placement/placement_view.rs
+++ b/crates/ebonystand-core/src/placement/placement_view.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// What a [`PlacementController`] decides on: its own state and the engines' last reports, at one moment.
+/// Input of one placement decision: the controller's state and the engines' last reports at one
+/// moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementView<'a> {
-    /// Last reports.
+    /// Last report of each engine.
     pub(crate) engines: &'a BTreeMap<UpstreamId, EngineReport>,
     /// Time of the decision.
     pub(crate) now: Duration,
-    /// The controller.
+    /// Controller that decides.
     pub(crate) state: &'a PlacementController,
 }
 
 impl<'a> PlacementView<'a> {
-    /// Replicas of each model of the settings.
+    /// Replica count of each model in the settings.
     pub(crate) fn model_counts(&self) -> impl Iterator<Item = ReplicaCount<'a>> {
         let view = *self;
         let models = &view.state.settings.models;
@@ -27,7 +28,8 @@
             })
     }
 
-    /// Engine with the most room for a model that it has not, if any has enough.
+    /// Engine with the most free memory that can load the model: one that serves requests, neither
+    /// has nor loads the model, has not recently failed to load it and has enough memory.
     pub(crate) fn find_engine_for(&self, count: &ReplicaCount) -> Option<&'a UpstreamId> {
         let fits = |id: &UpstreamId, engine: &EngineReport| {
             let replica = ModelReplica::new(id, count.model);
@@ -44,14 +46,14 @@
             .map(|(id, _)| id)
     }
 
-    /// The report of a replica's engine, if it is recent and shows the replica.
+    /// Last report of a replica's engine, if it is recent and lists the replica.
     pub(crate) fn reporting_engine(&self, replica: &ModelReplica) -> Option<&'a EngineReport> {
         self.engines
             .get(&replica.engine)
             .filter(|engine| self.is_fresh(engine) && engine.models.contains_key(&replica.model))
     }
 
-    /// Models with too few replicas, the most urgent first.
+    /// Models with fewer replicas than their target, the most urgent first.
     pub(crate) fn lacking_models(&self) -> Vec<ReplicaCount<'a>> {
         let settings = &self.state.settings;
         let mut lacking: Vec<_> = self
@@ -62,14 +64,14 @@
         lacking
     }
 
-    /// The model below its floor that no engine has room for, if any.
+    /// Most urgent model below its floor for which no engine has enough memory.
     pub(crate) fn starved_model(&self) -> Option<ReplicaCount<'a>> {
         self.lacking_models()
             .into_iter()
             .find(|count| count.is_below_floor() && self.find_engine_for(count).is_none())
     }
 
-    /// ModelReplica of a model that is to be retired now, if any.
+    /// Order to retire one replica of the model, if one should be retired now.
     pub(crate) fn find_retirement(&self, count: &ReplicaCount<'a>) -> Option<PlacementOrder> {
         let (engine, reason) = self
             .find_leaving_replica(count)
@@ -113,7 +115,7 @@
         self.now.saturating_sub(engine.reported_at) <= self.state.settings.stale
     }
 
-    /// A leaving engine gives up a model only once the others carry it without it.
+    /// A replica on a leaving engine, once the other engines carry the model without it.
     fn find_leaving_replica(
         &self,
         count: &ReplicaCount<'a>,
@@ -133,7 +135,9 @@
             .map(|(id, _)| (id, PlacementReason::Leaving { replicas }))
     }
 
-    /// Frees room for a model that is below its floor and fits nowhere, one replica at a time.
+    /// A replica whose memory lets an engine load a model that is below its floor and fits on no
+    /// engine. None while a retired replica is still loaded, so that memory is freed one replica at
+    /// a time.
     fn find_replica_to_make_room(
         &self,
         count: &ReplicaCount<'a>,
@@ -158,8 +162,9 @@
         !engine.leaving && self.is_fresh(engine)
     }
 
-    /// A new controller knows no demand yet: it watches before it takes a lack of it for real, or
-    /// each change of the controller would unload what the last one had loaded.
+    /// The least busy replica, if the model has more than it needs. A new controller has seen no
+    /// demand yet, so it waits for the settle time before it treats missing demand as real. Without
+    /// this wait, each change of controller would unload what the previous one had loaded.
     fn find_surplus_replica(
         &self,
         count: &ReplicaCount<'a>,
--- a/crates/ebonystand-core/src/placement/state.rs
+++ b/crates/ebonystand-core/src/placement/state.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Controller of one region: decides which engine holds which model.
+/// Decides which engine of one region loads which model.
 ///
-/// The VM that runs it holds the region's placement role ([`FencedRole`]), and sends each order with
-/// a [`FencePermit`].
+/// The VM that runs the controller holds the region's placement role ([`FencedRole`]) and sends
+/// each order under a [`FencePermit`].
 #[derive(Debug)]
 pub struct PlacementController {
     demand: BTreeMap<ModelId, SmoothedRate>,
-    /// Loads that took too long, and when they were given up.
+    /// Loads that timed out, with the time at which they were given up.
     pub(crate) failed_loads: BTreeMap<ModelReplica, Duration>,
-    /// Loads that were ordered and not seen done, and when.
+    /// Loads that were ordered but that no engine has reported as done, with the time of the order.
     pub(crate) pending_loads: BTreeMap<ModelReplica, Duration>,
-    /// Replicas that get no new request, and since when.
+    /// Replicas that receive no new requests, with the time of their retirement.
     pub(crate) retired_replicas: BTreeMap<ModelReplica, Duration>,
     pub(crate) settings: PlacementSettings,
     pub(crate) started_at: Duration,
@@ -19,13 +19,13 @@
 }
 
 impl PlacementController {
-    /// Multiple of the time that a load takes from the store after which it is given up.
+    /// Factor on a model's transfer time from the store after which its load counts as failed.
     pub const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
-    /// A controller that starts at `now`.
+    /// Creates a controller that starts at `now`.
     ///
-    /// Its predecessor may have ordered a load right before: the store is taken for busy for as
-    /// long as the largest model takes.
+    /// Its predecessor may have ordered a load right before. The store therefore counts as busy for
+    /// the transfer time of the largest model.
     #[must_use]
     pub fn new(now: Duration, settings: PlacementSettings) -> Self {
         let times = settings
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a sample of what callers ask of a model over the region, in tokens a second.
+    /// Records a sample of the region's demand for a model, in tokens per second.
     pub fn record_demand(&mut self, now: Duration, model: &ModelId, rate: f64) {
         self.demand
             .entry(model.clone())
@@ -51,18 +51,18 @@
             .sample(now, rate, self.settings.smoothing);
     }
 
-    /// Smoothed demand of a model, in tokens a second.
+    /// Smoothed demand for a model in tokens per second.
     #[must_use]
     pub fn smoothed_demand(&self, model: &ModelId) -> f64 {
         self.demand.get(model).map_or(0.0, SmoothedRate::value)
     }
 
-    /// Replicas that get no new request.
+    /// Replicas that receive no new requests.
     pub fn retired_replicas(&self) -> impl Iterator<Item = &ModelReplica> {
         self.retired_replicas.keys()
     }
 
-    /// Decides on the engines' last reports.
+    /// Returns the orders to give after the engines' last reports.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -76,10 +76,11 @@
         orders
     }
 
-    /// Orders one load, for the model that lacks most, once the store has given the last one.
+    /// Orders one load, for the model that needs it most, once the store has finished the previous
+    /// transfer.
     ///
-    /// Loads that share the store's rate would all end late; one after the other, the first ends
-    /// as early as it can.
+    /// Parallel loads would share the store's rate and all finish late. In sequence, the first one
+    /// finishes as early as possible.
     fn order_load(
         &mut self,
         now: Duration,
@@ -103,10 +104,11 @@
         Some(order)
     }
 
-    /// Takes retired replicas back where they are needed after all: it costs the store nothing.
+    /// Restores retired replicas of models that need them again, which costs no transfer from the
+    /// store.
     ///
-    /// While a model below its floor waits for room, demand alone takes none back: the room would
-    /// be retired for and taken back in turn, for ever.
+    /// While a model below its floor waits for memory, demand alone restores no replica. Otherwise
+    /// the same replica would be retired for its memory and restored for its demand without end.
     fn order_restores(
         &mut self,
         now: Duration,
@@ -135,7 +137,8 @@
         orders
     }
 
-    /// Retires one replica at most of each model that can spare one.
+    /// Retires at most one replica of each model that can spare one, and at most one in total to
+    /// free memory for a model below its floor.
     fn order_retirements(
         &mut self,
         now: Duration,
@@ -157,7 +160,7 @@
         orders
     }
 
-    /// Forgets orders that have taken effect, and gives up those that take too long.
+    /// Removes orders that have taken effect, and gives up loads that take too long.
     fn update_pending_orders(
         &mut self,
         now: Duration,
@@ -188,11 +191,12 @@
         self.retired_replicas.retain(|replica, _| has(replica));
     }
 
-    /// Unloads retired replicas that run nothing.
+    /// Orders to unload retired replicas that run no more requests.
     ///
-    /// Only a report from some time after the retirement counts: an earlier one misses requests
-    /// that were on their way when it was made, and they would be cut. The others are counted
-    /// again: a successor may have died since the retirement, and its engine be empty.
+    /// Only a report from at least the stale time after the retirement counts. An earlier one does
+    /// not include requests that were in flight at the retirement, and unloading would cut them
+    /// off. The model's other replicas are counted again, since an engine may have been lost or
+    /// have come back empty since the retirement.
     fn order_unloads(
         &self,
         now: Duration,
--- a/crates/ebonystand-core/src/replica_count.rs
+++ b/crates/ebonystand-core/src/replica_count.rs
@@ -1,32 +1,34 @@
 use super::*;
 
-/// Replicas of one model that take requests, and how many it should have.
+/// Number of replicas of one model by their state, compared with the number that it should have.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicaCount<'a> {
-    /// Being loaded.
+    /// Number of replicas that are being loaded.
     pub(crate) loading: usize,
-    /// Smoothed demand, in tokens a second.
+    /// Smoothed demand in tokens per second.
     pub(crate) demand: f64,
-    /// The model.
+    /// Model that is counted.
     pub(crate) model: &'a ModelId,
-    /// What it needs.
+    /// The model's requirements by the settings.
     pub(crate) requirements: &'a ModelRequirements,
-    /// Loaded on engines that neither leave nor are lost, and not retired.
+    /// Number of loaded replicas that take requests: not retired, and on engines that are neither
+    /// leaving nor lost.
     pub(crate) warm: usize,
 }
 
 impl ReplicaCount<'_> {
-    /// Loaded or being loaded.
+    /// Number of replicas that are loaded or being loaded.
     pub(crate) fn total(&self) -> usize {
         self.loading + self.warm
     }
 
-    /// Whether it has fewer replicas than its floor.
+    /// Whether the model has fewer replicas than its floor.
     pub(crate) fn is_below_floor(&self) -> bool {
         self.total() < self.requirements.floor
     }
 
-    /// Replicas that it should have: one more than it has, one less or as many.
+    /// Number of replicas that the model should have. It differs from the current number by at most
+    /// one, except where the floor is higher.
     pub(crate) fn target(&self, settings: &PlacementSettings) -> usize {
         let demand = self.demand * 1_000.0;
         let carried = |replicas: usize, permille: u64| {
@@ -43,7 +45,7 @@
         target.max(self.requirements.floor)
     }
 
-    /// Why it gets a replica.
+    /// Reason to log when the model gets another replica.
     pub(crate) fn reason_to_add(&self) -> PlacementReason {
         let replicas = self.total();
         if self.is_below_floor() {
@@ -54,15 +56,16 @@
         PlacementReason::Demand { demand, replicas }
     }
 
-    /// Whether the warm ones but one carry the model, and one at least remains.
+    /// Whether the warm replicas but one carry the model, and at least one remains.
     ///
-    /// Replicas that are still being loaded do not count: the load may fail, and the model would
-    /// have nowhere to run.
+    /// Replicas that are being loaded do not count: the load may fail, and the model would have no
+    /// replica left.
     pub(crate) fn can_spare_replica(&self, settings: &PlacementSettings) -> bool {
         self.warm > self.target(settings).max(1)
     }
 
-    /// Order in which models get replicas: those below their floor first, then by load a replica.
+    /// Order in which models get replicas: models below their floor first, then those with the
+    /// highest demand per replica.
     pub(crate) fn compare_urgency(&self, other: &Self) -> Ordering {
         let load = |count: &Self| {
             count.demand / (count.requirements.tokens_per_replica * count.total() as u64 + 1) as f64
--- a/crates/ebonystand-core/tests/fencing.rs
+++ b/crates/ebonystand-core/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing of orders to engines, for engines that check the number and for those that do not.
+//! Fencing of orders to engines that check the fencing token, and to engines that do not.
 
 use {
     ebonystand_core::{
@@ -46,8 +46,9 @@
     }
 }
 
-/// Two VMs see their predecessor vanish and claim its role at once; a third claim was on its way
-/// for long. One gets the next number, the others none; a resend of the winner gets it again.
+/// Two VMs see their predecessor vanish and claim its role at the same time; a third claim is long
+/// delayed. One of them gets the next token and the others none. The winner's resent claim returns
+/// the same token.
 #[test]
 fn of_two_successors_one_gets_the_next_number() {
     let mut registry = FenceRegistry::default();
@@ -67,8 +68,8 @@
     assert_eq!(registry.apply(&renew), FenceOutcome::Lost { fence: 2 });
 }
 
-/// A successor may order at once where the upstream checks numbers, and elsewhere only after its
-/// wait and after it has read a state that its predecessor can no longer change.
+/// A new holder may send orders at once to an upstream that checks fencing tokens. To another it
+/// must wait and then read a state that its predecessor can no longer change.
 #[test]
 fn a_successor_waits_and_reads_before_it_orders() {
     let (mut registry, times) = (FenceRegistry::default(), FencedRoleTimings::default());
@@ -103,9 +104,9 @@
     assert!(fenced_role.authorize_order(open, &id, &ignores).is_ok());
 }
 
-/// A holder with a slow clock renews; its successor, with a fast one, claims right behind that
-/// renewal. The holder hears the answer soon, late or twice, and nothing else. Its last order
-/// must have taken effect before the successor's first one.
+/// A holder with a slow clock renews its lease, and a successor with a fast clock claims the role
+/// right behind that renewal. The holder receives the answer to its renewal early, late or twice,
+/// and nothing else. Its last order must have taken effect before the successor's first one.
 #[rstest]
 #[case::soon(&[0])]
 #[case::late(&[5_500])]
@@ -157,9 +158,10 @@
     assert!(last + times.order <= first, "{last:?} {first:?}");
 }
 
-/// A process with its own clock, which is fast or slow by up to the bound.
+/// Process with its own clock, which is fast or slow by up to the drift bound.
 struct Vm {
-    /// Until then it hears nothing of the registry, and takes a live holder for dead.
+    /// Time until which the process sees no registry change, so that it takes a live holder for
+    /// dead.
     blind_until: Duration,
     frozen_until: Duration,
     fenced_role: FencedRole,
@@ -170,11 +172,11 @@
 
 struct Contest {
     now: Duration,
-    /// Answers on their way: when they arrive, and at which VM.
+    /// Results in flight, with their arrival time and the index of the receiving VM.
     outcomes: Vec<(Duration, usize, FenceOutcome)>,
     registry: FenceRegistry,
     rng: Pcg64Mcg,
-    /// Orders as the engine sees them: when they take effect, and their number.
+    /// Orders as the engine sees them, with the time at which they take effect and their token.
     seen: Vec<(Duration, u64)>,
     vms: [Vm; 2],
 }
@@ -203,8 +205,8 @@
         }
     }
 
-    /// A VM hears, claims, renews and orders; it uses a permit one turn after it got it, and
-    /// may freeze in between.
+    /// Runs one turn of a VM: it receives results, claims, renews and orders. It uses a permit one
+    /// turn after it was issued, and may freeze in between.
     fn turn(&mut self, i: usize) {
         let (now, vm, rng) = (self.now, &mut self.vms[i], &mut self.rng);
         let clock = now * vm.rate / 1_000;
@@ -239,9 +241,9 @@
     }
 }
 
-/// Two VMs compete for a role over a log that delays and loses, with clocks at the edges of their
+/// Two VMs compete for a role over a log with delays and losses, clocks at the edges of the drift
 /// bound, freezes, orders that take effect late, and claims while the holder lives. An engine that
-/// ignores numbers must never see an order of a holder after one of its successor.
+/// ignores tokens must never see an order of a former holder after one of its successor.
 #[test]
 fn an_engine_that_ignores_numbers_sees_one_orderer_at_a_time() {
     let mut successions = 0;
--- a/crates/ebonystand-core/tests/placement.rs
+++ b/crates/ebonystand-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! PlacementController of models on engines.
+//! Placement of models on engines.
 
 use {
     ebonystand_core::{
@@ -15,7 +15,8 @@
 const RATE: u64 = 2;
 const SEEDS: u64 = 100;
 
-/// Engines that do as they are told, the store's time later, and report each second.
+/// Simulated engines that follow each order, take the store's transfer time for a load and report
+/// every second.
 struct World {
     coming: Vec<(Duration, ModelReplica)>,
     controller: PlacementController,
@@ -26,7 +27,7 @@
 }
 
 impl World {
-    /// Engines with room for `room` models each, models with one replica as floor.
+    /// Creates engines with memory for `room` models each, and models with a floor of one replica.
     fn new(engines: &[(&str, &[&str])], models: &[&str], room: u64) -> Self {
         let needs = ModelRequirements {
             bytes: BYTES,
@@ -68,7 +69,7 @@
         self.engines.get_mut(id).expect("an engine")
     }
 
-    /// Replicas of a model that the router may use.
+    /// Number of replicas of a model that the router may use.
     fn serving(&self, model: &str) -> usize {
         let retired = |id| {
             self.controller
@@ -81,7 +82,7 @@
         self.engines.iter().filter(serves).count()
     }
 
-    /// Runs for some seconds at a constant demand for each model.
+    /// Advances by some seconds at a constant demand for each model.
     fn run(&mut self, seconds: u32, demand: &[(&str, f64)]) {
         for _ in 0..seconds {
             self.now += SECOND;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Does what an order asks for, and checks what must hold for each.
+    /// Follows an order and checks the invariants that hold for its kind.
     fn obey(&mut self, order: PlacementOrder) {
         let ModelReplica { engine, model } = order.replica.clone();
         match order.action {
@@ -124,7 +125,7 @@
                 if let PlacementReason::Surplus { demand, .. } = order.reason {
                     assert!(demand <= 50 * serving as u64, "{order}, {serving} left");
                 }
-                // A request is on its way from a VM that has not heard of it.
+                // One more request is in flight from a VM that does not know of the retirement yet.
                 let running = self.engine(&engine).models.get_mut(&model);
                 *running.expect("a loaded model") += 1;
                 self.ending
@@ -146,7 +147,7 @@
             .count()
     }
 
-    /// The store's rate is kept over each window between two loads.
+    /// Checks that the loads within each window between two loads stay within the store's rate.
     fn assert_within_store_rate(&self) {
         let loads: Vec<_> = self
             .orders
@@ -162,8 +163,8 @@
     }
 }
 
-/// An engine dies with the only replicas of three models. Each is loaded again elsewhere, one
-/// after the other, since together they would share the store's rate and all come late.
+/// An engine dies with the only replicas of three models. Each is loaded elsewhere, one after the
+/// other, since parallel loads would share the store's rate and all finish late.
 #[test]
 fn floors_are_restored_within_the_stores_rate() {
     let mut world = World::new(&[("a", &["m", "n", "o"]), ("b", &[])], &["m", "n", "o"], 3);
@@ -179,8 +180,9 @@
     world.assert_within_store_rate();
 }
 
-/// A controller takes over while its predecessor's load is under way, which no report shows yet.
-/// The engine that it then picks fails to load; the next try goes to another one.
+/// A controller takes over during its predecessor's load, which no report shows yet, and must not
+/// start a second one. The engine that it then picks fails to load, and the next load goes to
+/// another engine.
 #[test]
 fn a_load_waits_for_the_last_one_and_avoids_an_engine_that_failed() {
     let mut world = World::new(&[("a", &[]), ("b", &[])], &["m"], 1);
@@ -197,8 +199,8 @@
     assert_eq!(engines, ["b", "a"]);
 }
 
-/// Demand swings around the edge where a replica is added. Without a dead band each swing would
-/// load and unload one, and the store would be busy with nothing.
+/// Demand oscillates around the threshold at which a replica is added. Without a dead band, each
+/// swing would load and unload a replica and keep the store busy for nothing.
 #[test]
 fn demand_within_the_dead_band_changes_nothing() {
     let mut world = World::new(&[("a", &["m"]), ("b", &["m"]), ("c", &[])], &["m"], 1);
@@ -209,7 +211,7 @@
     assert!(world.orders.len() <= 1, "{:?}", world.orders);
 }
 
-/// A burst of a few seconds is over before a replica could be loaded for it.
+/// A burst of a few seconds ends before a replica could be loaded for it, so it causes no order.
 #[test]
 fn a_short_burst_changes_nothing() {
     let mut world = World::new(&[("a", &["m"]), ("b", &[])], &["m"], 1);
@@ -219,7 +221,7 @@
     assert_eq!(world.orders.len(), 0, "{:?}", world.orders);
 }
 
-/// Demand grows, then falls: a replica comes, and one goes once it runs nothing.
+/// Demand grows, then falls. A replica is added, and one is removed once it runs no more requests.
 #[test]
 fn replicas_follow_demand() {
     let mut world = World::new(&[("a", &["m"]), ("b", &[])], &["m"], 1);
@@ -235,8 +237,8 @@
     assert_eq!(world.orders(PlacementAction::Unload), 1);
 }
 
-/// The controller changes while a model has three replicas under load. The new one has no demand
-/// yet; taken for none, it would unload two of them.
+/// The controller changes while a model has three replicas under load. The new controller has seen
+/// no demand yet, and would unload two of them if it treated that as no demand.
 #[test]
 fn a_new_controller_watches_before_it_unloads() {
     let all: &[_] = &[("a", &["m"] as &[_]), ("b", &["m"]), ("c", &["m"])];
@@ -246,7 +248,8 @@
     assert_eq!(world.orders.len(), 0, "{:?}", world.orders);
 }
 
-/// An engine leaves with the only replica of a model. It keeps it until another one has it.
+/// An engine with the only replica of a model leaves. It keeps the replica until another engine has
+/// loaded the model.
 #[test]
 fn a_leaving_engine_is_emptied_once_its_successor_is_warm() {
     let mut world = World::new(&[("a", &["m"]), ("b", &[])], &["m"], 1);
@@ -260,8 +263,8 @@
     assert_eq!(world.serving("m"), 1);
 }
 
-/// No engine has room for a model below its floor; another model has replicas to spare. It gives
-/// up one, once, although its demand asks for all of them.
+/// No engine has memory for a model below its floor, while another model has spare replicas. That
+/// model gives up exactly one, although its demand would use all of them.
 #[test]
 fn a_model_below_its_floor_gets_room_from_one_above_its_own() {
     let all: &[_] = &[("a", &["m"] as &[_]), ("b", &["m"]), ("c", &["m"])];
@@ -275,8 +278,8 @@
     );
 }
 
-/// Engines die, come back empty, leave and return, and demand jumps. At no time does an order
-/// take a model's last replica, cut a request or overdraw the store; in the end floors are met.
+/// Engines die, come back empty, leave and return, and demand jumps. No order may remove a model's
+/// last replica, cut off a request or exceed the store's rate, and in the end all floors are met.
 #[test]
 fn no_order_harms_whatever_the_engines_do() {
     let mut orders = 0;
