--- a/crates/ebonystand-core/src/circuit_breaker.rs
+++ b/crates/ebonystand-core/src/circuit_breaker.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Circuit breaker of one upstream: after a few failures in a row it gets no requests for a
-/// while, then one at a time until one succeeds.
+/// Circuit breaker of one upstream. After a few consecutive failures the upstream gets no requests
+/// for a while, then one at a time until one succeeds.
 ///
-/// Without it a VM goes on sending to a dead upstream whose last report said that it is idle,
-/// and each such request waits for its first-byte limit.
+/// Without it, a VM keeps sending requests to a dead upstream whose last report showed it idle, and
+/// each of them waits for its first-byte timeout.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct CircuitBreaker {
     failures: u32,
@@ -13,18 +13,18 @@
 }
 
 impl CircuitBreaker {
-    /// Longest time without any request.
+    /// Upper bound of the time without any request.
     const MAX_OPEN_TIME: Duration = Duration::from_secs(30);
-    /// First time without any request; doubles with each failure after it.
+    /// First time without any request. It doubles with each further failure.
     const MIN_OPEN_TIME: Duration = Duration::from_secs(1);
-    /// Failures in a row that open the circuit.
+    /// Number of consecutive failures that opens the circuit.
     const FAILURE_THRESHOLD: u32 = 3;
 
     pub(crate) fn allows_dispatch(&self, now: Duration) -> bool {
         self.failures < Self::FAILURE_THRESHOLD || (now >= self.open_until && !self.is_probing)
     }
 
-    /// Notes the end of a dispatch; true if the circuit has changed between open and closed.
+    /// Records the end of a dispatch. Returns whether the circuit was opened or closed by it.
     pub(crate) fn record_end(&mut self, now: Duration, end: DispatchEnd) -> bool {
         self.is_probing = false;
         match end {
--- a/crates/ebonystand-core/src/dispatch_end.rs
+++ b/crates/ebonystand-core/src/dispatch_end.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// How a dispatch to an upstream ended.
+/// How a dispatch to an upstream ended, as the router records it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DispatchEnd {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Answered {
-        /// Time from dispatch to the first byte of the answer.
+        /// Time from the dispatch to the first byte of the answer.
         first_token: Duration,
     },
-    /// The caller left or the gateway broke it off; says nothing about the upstream.
+    /// The caller left, or the gateway cancelled the dispatch. It says nothing about the upstream.
     Cancelled,
     /// The connection was refused, reset or truncated, or the upstream answered with an error.
     Failed,
-    /// The upstream was silent for longer than a limit.
+    /// The upstream sent nothing for longer than a timeout.
     TimedOut,
 }
--- a/crates/ebonystand-core/src/encoded_weight.rs
+++ b/crates/ebonystand-core/src/encoded_weight.rs
@@ -1,9 +1,9 @@
-//! Upper bounds of the encoded length of the parts of a datagram, so that it can be filled up to
-//! a limit without being encoded twice.
+//! Upper bounds of the encoded length of a datagram's parts, so that a datagram can be filled up to
+//! a size limit without encoding it twice.
 
 use super::*;
 
-/// Bytes of an address: variant, IP number, port.
+/// Upper bound in bytes of an encoded socket address: variant, IP address and port.
 pub(crate) fn address_encoded_len(address: SocketAddr) -> usize {
     const PORT: usize = 3;
     const VARIANT: usize = 1;
@@ -13,12 +13,12 @@
     }
 }
 
-/// Bytes of a text with its length.
+/// Upper bound in bytes of an encoded text, including its length prefix.
 pub(crate) fn text_encoded_len(text: &str) -> usize {
     varint_encoded_len(text.len() as u64) + text.len()
 }
 
-/// Bytes of a number with seven bits a byte.
+/// Length in bytes of an encoded variable-length integer, which holds seven bits per byte.
 pub(crate) fn varint_encoded_len(number: u64) -> usize {
     const BITS_PER_BYTE: u32 = 7;
     let bits = (u64::BITS - number.leading_zeros()).max(1);
--- a/crates/ebonystand-core/src/fair_queue.rs
+++ b/crates/ebonystand-core/src/fair_queue.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Requests that wait on this VM for an upstream slot, served by start-time fair queueing over
-/// workspaces, in tokens.
+/// Queue of the requests that wait on this VM for an upstream slot. Start-time fair queueing shares
+/// the slots between workspaces, by tokens of work.
 ///
-/// In a plain queue a workspace at ten times its rate owns most of the places, and each other
-/// request waits behind them. Here a workspace's next request starts no sooner than its previous
-/// ones would have ended at an equal share, so a burst waits behind itself.
+/// In a plain queue, a workspace at ten times its rate holds most places and all other requests
+/// wait behind it. Here the next request of a workspace starts no earlier than its previous ones
+/// would have ended at an equal share, so a burst waits behind itself.
 ///
-/// A slot is not given back before its request ends. A workspace with a long backlog therefore
-/// leaves some slots free: otherwise it would hold every one that the others do not use, and each
-/// other request would wait until one of the burst's ends.
+/// A running request cannot be preempted. A workspace with a long backlog therefore leaves some
+/// slots free. Otherwise it would occupy every slot that the others do not use, and each of their
+/// requests would wait for one of the burst's requests to end.
 #[derive(Clone, Debug)]
 pub struct FairQueue {
     backlogs: BTreeMap<WorkspaceId, WorkspaceBacklog>,
@@ -21,13 +21,14 @@
 }
 
 impl FairQueue {
-    /// Tokens of lead over the others that lower the engine priority by one.
+    /// Tokens by which a workspace is ahead of the others per step of engine priority.
     pub const PRIORITY_QUANTUM: Tokens = 2_000;
 
-    /// Slots in thousandths that a burst leaves free.
+    /// Share of the slots, in thousandths, that a workspace with a burst leaves free.
     const RESERVE_PERMILLE: u32 = 320;
 
-    /// Queue before `slots` concurrent dispatches that holds `capacity` tokens of work.
+    /// Creates a queue for `slots` concurrent dispatches that holds up to `capacity` tokens of
+    /// work.
     #[must_use]
     pub fn new(slots: u32, capacity: Tokens) -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Drops a waiting request whose caller left.
+    /// Removes a queued request whose caller has left.
     pub fn cancel(&mut self, workspace: &str, id: u64) -> Option<QueueEntry> {
         let backlog = self.backlogs.get_mut(workspace)?;
         let at = backlog
@@ -53,7 +54,7 @@
         Some(entry)
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn remove_expired(&mut self, now: Duration) -> Vec<QueueEntry> {
         let mut expired = Vec::new();
         for backlog in self.backlogs.values_mut() {
@@ -70,7 +71,7 @@
         expired
     }
 
-    /// A dispatch of the workspace has ended.
+    /// Records that a dispatch of the workspace has ended and frees its slot.
     pub fn record_dispatch_end(&mut self, workspace: &str) {
         self.running = self.running.saturating_sub(1);
         if let Some(backlog) = self.backlogs.get_mut(workspace) {
@@ -78,8 +79,9 @@
         }
     }
 
-    /// Takes the next request to dispatch, if a slot is free for it. To be called until it gives
-    /// none after each [`Self::push`] that queues, [`Self::finished`] and [`Self::set_slots`].
+    /// Removes and returns the next request to dispatch, if a slot is free for it. Call it until it
+    /// returns none, after each [`Self::push`] that queues, [`Self::record_dispatch_end`] and
+    /// [`Self::set_slots`].
     pub fn pop(&mut self) -> Option<QueueEntry> {
         if self.running >= self.slots {
             return None;
@@ -102,7 +104,8 @@
         Some(entry)
     }
 
-    /// Engine priority of the workspace's next request.
+    /// Priority at the engine for the workspace's next request. It falls the further the workspace
+    /// is ahead of the others.
     #[must_use]
     pub fn priority(&self, workspace: &str) -> Priority {
         let finish = self
@@ -112,8 +115,8 @@
         Priority::from_lead(finish.saturating_sub(self.virtual_time) / Self::PRIORITY_QUANTUM)
     }
 
-    /// Adds a request. When the queue is full, the workspace with the longest backlog loses its
-    /// last entry, so that one workspace's burst never costs another its place.
+    /// Adds a request. In a full queue, the last entry of the workspace with the longest backlog is
+    /// shed, so that one workspace's burst never costs another its place.
     pub fn push(&mut self, entry: QueueEntry) -> QueueOutcome {
         let work = entry.work;
         if self.running < self.slots && self.queued == 0 {
@@ -137,7 +140,7 @@
         QueueOutcome::QueuedAfterShedding { shed }
     }
 
-    /// Tokens of work that wait.
+    /// Total work of the queued requests in tokens.
     #[must_use]
     pub fn queued_work(&self) -> Tokens {
         self.queued
@@ -150,7 +153,7 @@
             .with_retry_after(Duration::from_secs(1))
     }
 
-    /// Sets the number of concurrent dispatches.
+    /// Sets the number of concurrent dispatches, at least 1.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
     }
@@ -163,7 +166,8 @@
         backlog.entries.push_back(WaitingEntry { entry, start });
     }
 
-    /// Drops workspaces that have nothing queued or running and owe nothing.
+    /// Removes workspaces that have no queued or running requests and are not ahead of the virtual
+    /// time.
     fn remove_idle_backlogs(&mut self) {
         let virtual_time = self.virtual_time;
         self.backlogs.retain(|_, backlog| {
@@ -171,13 +175,14 @@
         });
     }
 
-    /// Whether only the reserve is left.
+    /// Whether no slots beyond the reserve are free.
     fn is_only_reserve_left(&self) -> bool {
         let reserve = self.slots * Self::RESERVE_PERMILLE / 1_000;
         self.slots.saturating_sub(self.running) <= reserve
     }
 
-    /// Half of the slots that each workspace would hold if all held as many, and at least one.
+    /// Half of an equal share of the slots between the workspaces in the queue, and at least one
+    /// slot.
     fn half_share(&self) -> u32 {
         let active = self.backlogs.len().max(1) as u32;
         (self.slots / active / 2).max(1)
@@ -191,7 +196,8 @@
         self.remove_idle_backlogs();
     }
 
-    /// Takes the last entry of the longest backlog, if that is longer than `own`.
+    /// Removes and returns the last entry of the longest backlog, if that backlog exceeds `own`
+    /// tokens.
     fn shed_longest_backlog(&mut self, own: Tokens) -> Option<QueueEntry> {
         let longest = self
             .backlogs
@@ -205,7 +211,8 @@
         Some(entry)
     }
 
-    /// Start tag of the workspace's next request.
+    /// Assigns the virtual start time of the workspace's next request, and advances the workspace's
+    /// finish time by `work`.
     fn assign_start_tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
         if !self.backlogs.contains_key(workspace) {
             self.backlogs
--- a/crates/ebonystand-core/src/load_report.rs
+++ b/crates/ebonystand-core/src/load_report.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// What an upstream last said of its load.
+/// Load of an upstream as it last reported it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Time between the upstream's measurement and now.
+    /// Time since the upstream measured its load.
     pub age: Duration,
-    /// Work of the waiting requests in generated tokens, see [`RouteQuery::work`]; calls for a
-    /// plain service.
+    /// Work of the waiting requests in generated tokens, see [`RouteQuery::work`]. For a plain
+    /// service it is the number of calls.
     pub queued_tokens: Tokens,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests that the batch can hold; 0 if the upstream does not say.
+    /// Capacity of the batch in requests; 0 if the upstream does not report it.
     pub slots: u32,
-    /// Requests that wait for a place in the batch.
+    /// Number of requests that wait for a slot in the batch.
     pub waiting: u32,
 }
--- a/crates/ebonystand-core/src/observed_load.rs
+++ b/crates/ebonystand-core/src/observed_load.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Load of one upstream as this VM knows it: the last report, and its own dispatches since.
+/// Load of one upstream as this VM sees it: the last report, and the VM's own dispatches since.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedLoad {
     reported_at: Option<Duration>,
-    /// Time to first token of the last answers, averaged.
+    /// Moving average of the time to first token.
     first_token: Duration,
-    /// When the last of them came.
+    /// Time of the last answer in the average.
     first_token_at: Duration,
     in_flight: u32,
     report: LoadReport,
@@ -21,19 +21,21 @@
 }
 
 impl ObservedLoad {
-    /// An upstream that was silent for this long has probably lost its caches.
+    /// Time without reports after which an upstream has probably restarted and lost its caches.
     const COLD_AFTER_SILENCE: Duration = Duration::from_secs(10);
-    /// Time in which what was observed loses half its weight, so that the upstream is tried again.
+    /// Half-life of the observed time to first token. It fades so that a slow upstream is tried
+    /// again.
     const FIRST_TOKEN_HALF_LIFE: Duration = Duration::from_secs(5);
-    /// Time for which a reported queue is taken to drain. After it the report is too old to
-    /// tell an idle upstream from one that no longer reports.
+    /// Longest time for which the reported queue is assumed to drain. An older report cannot tell
+    /// an idle upstream from one that has stopped reporting.
     const MAX_ASSUMED_DRAIN: Duration = Duration::from_secs(2);
-    /// Dispatches that are remembered; older ones are dropped as if reported.
+    /// Largest number of dispatches that are tracked. Beyond it the oldest counts as already
+    /// reported.
     const MAX_TRACKED_DISPATCHES: usize = 256;
-    /// Batch places assumed for an upstream that does not tell.
+    /// Number of slots that is assumed for an upstream that does not report it.
     const DEFAULT_SLOTS: u32 = 8;
 
-    /// Work in front of a new request, in generated tokens.
+    /// Work in generated tokens that is queued before a new request.
     pub(crate) fn work_ahead(&self, now: Duration, speed: f64, factor: f64) -> f64 {
         let queued = self.report.queued_tokens as f64;
         let sent = self.unreported_tokens as f64 * factor;
@@ -45,7 +47,7 @@
         ahead.max(0.0)
     }
 
-    /// Notes the time to first token of an answer.
+    /// Adds the time to first token of an answer to the average.
     pub(crate) fn record_answer(&mut self, now: Duration, first_token: Duration) {
         self.first_token = (self.first_token * 7 + first_token) / 8;
         self.first_token_at = now;
@@ -55,9 +57,9 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Time to first token in seconds that is to be expected whatever the upstream reports: a
-    /// quarter of what was observed. An upstream that is slow for a reason of its own reports an
-    /// idle queue, and would draw all requests; in ordinary times the prediction is well above.
+    /// Lower bound of the predicted time to first token in seconds, a quarter of the observed one.
+    /// An upstream that is slow for a reason of its own reports an empty queue and would attract
+    /// all requests. At ordinary load the prediction is well above this bound.
     pub(crate) fn min_first_token_s(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.first_token_at).as_secs_f64()
             / Self::FIRST_TOKEN_HALF_LIFE.as_secs_f64();
@@ -68,14 +70,15 @@
         self.in_flight
     }
 
-    /// Share of the batch that is in use; above 1 if requests wait.
+    /// Requests on the upstream as a share of its slots; above 1 if requests wait.
     pub(crate) fn occupancy(&self, factor: f64) -> f64 {
         let reported = self.report.running + self.report.waiting;
         let sent = self.unreported.len() as f64 * factor;
         (f64::from(reported) + sent) / f64::from(self.slots())
     }
 
-    /// Takes a report; true if the upstream was silent for so long that it may be cold.
+    /// Records a report. Returns whether the upstream was silent for so long that its caches may be
+    /// cold.
     pub(crate) fn record_report(&mut self, now: Duration, report: LoadReport) -> bool {
         let reported_at = now.saturating_sub(report.age);
         let previous = self.reported_at.unwrap_or(reported_at);
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Requests that the batch can hold.
+    /// Number of requests that the batch can hold.
     pub(crate) fn slots(&self) -> u32 {
         match self.report.slots {
             0 => Self::DEFAULT_SLOTS,
--- a/crates/ebonystand-core/src/prefix_hints.rs
+++ b/crates/ebonystand-core/src/prefix_hints.rs
@@ -1,10 +1,10 @@
 use {super::*, xxhash_rust::xxh3::xxh3_64_with_seed};
 
-/// Bounded table of which upstream is likely to have a prompt prefix cached.
+/// Bounded table of the upstreams that are likely to have a prompt prefix cached.
 ///
-/// The key holds the workspace: a shared entry would let one workspace learn from the time to
-/// first token which prompts another has sent. Entries are hints; a lost, late or wrong one
-/// costs a cold prefill and never a request.
+/// The key includes the workspace. With a shared entry, a workspace could learn from its time to
+/// first token which prompts another one has sent. Entries are only hints: a lost, late or wrong
+/// one costs a cold prefill and never a request.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixHints {
     entries: Box<[Option<Hint>]>,
@@ -18,7 +18,7 @@
 }
 
 impl PrefixHints {
-    /// Entries of the table; a newer one replaces the older one in its place.
+    /// Number of entries in the table. A newer hint replaces an older one at the same index.
     const ENTRIES: usize = 16_384;
 
     pub(crate) fn remove(&mut self, key: u64, upstream: u32) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The upstream and its generation when the hint was taken.
+    /// Index of the upstream, and the upstream's generation at the time of the hint.
     pub(crate) fn get(&self, key: u64) -> Option<(u32, u32)> {
         self.entries[Self::entry_index(key)]
             .filter(|hint| hint.key == key)
--- a/crates/ebonystand-core/src/priority.rs
+++ b/crates/ebonystand-core/src/priority.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Priority of a request at an engine; 0 is served first.
+/// Priority of a request at an engine. The engine serves 0 first.
 #[derive(
     Clone,
     Copy,
@@ -18,16 +18,17 @@
 pub struct Priority(u8);
 
 impl Priority {
-    /// Served last.
+    /// The priority that is served last.
     pub const LOWEST: Self = Self(3);
 
-    /// The number that is sent to the engine.
+    /// Number that is sent to the engine.
     #[must_use]
     pub fn level(self) -> u8 {
         self.0
     }
 
-    /// Priority of a workspace that is `lead` times its quantum ahead of the others.
+    /// Priority of a workspace that is ahead of the others by `lead` quanta, see
+    /// [`FairQueue::PRIORITY_QUANTUM`].
     pub(crate) fn from_lead(lead: Tokens) -> Self {
         match lead {
             0..=1 => Self(0),
--- a/crates/ebonystand-core/src/queue_entry.rs
+++ b/crates/ebonystand-core/src/queue_entry.rs
@@ -3,12 +3,12 @@
 /// A request that waits in a [`FairQueue`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QueueEntry {
-    /// By when it must have left the queue.
+    /// Time by which the request must have left the queue.
     pub deadline: Deadline,
-    /// Name that the daemon gave it.
+    /// Id that the daemon gave the request.
     pub id: u64,
-    /// Work in generated tokens.
+    /// Work of the request in generated tokens.
     pub work: Tokens,
-    /// Workspace that it runs for.
+    /// Workspace that sent the request.
     pub workspace: WorkspaceId,
 }
--- a/crates/ebonystand-core/src/queue_outcome.rs
+++ b/crates/ebonystand-core/src/queue_outcome.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// What became of a [`QueueEntry`] that was pushed.
+/// Result of pushing a [`QueueEntry`] into a [`FairQueue`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum QueueOutcome {
-    /// It waits.
+    /// The request waits in the queue.
     Queued,
-    /// It waits, and an entry of the workspace with the longest backlog was shed for it.
+    /// The request waits in the queue, and an entry of the workspace with the longest backlog was
+    /// shed to make room for it.
     QueuedAfterShedding {
-        /// The entry that was shed; its caller gets [`FairQueue::refusal`].
+        /// Entry that was shed. Its caller gets [`FairQueue::refusal`].
         shed: QueueEntry,
     },
-    /// It may be dispatched at once.
+    /// The request has a slot and may be dispatched at once.
     Started,
-    /// It is not queued.
+    /// The request was not queued.
     Shed {
         /// Final answer to the caller.
         refusal: Refusal,
--- a/crates/ebonystand-core/src/refusal.rs
+++ b/crates/ebonystand-core/src/refusal.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{code}: {message}")]
 pub struct Refusal {
-    /// Stable code.
+    /// Machine-readable code, which stays stable across releases.
     pub code: RefusalCode,
-    /// Sentence for a person.
+    /// Explanation for a person, in one sentence.
     pub message: Box<str>,
-    /// When coming back makes sense, if it does.
+    /// Time to wait before a retry; none if a retry does not help.
     pub retry_after: Option<Duration>,
     /// Whether the request ran.
     pub run: RunState,
@@ -17,7 +17,7 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// Refusal of a request that has not run.
+    /// Creates the refusal of a request that has not run.
     #[must_use]
     pub fn not_run(code: RefusalCode, message: impl Into<Box<str>>) -> Self {
         Self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Refusal of a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub fn possibly_run(code: RefusalCode, message: impl Into<Box<str>>) -> Self {
         Self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The same refusal with a time to come back after.
+    /// Returns the refusal with `delay` as its time to retry after.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
--- a/crates/ebonystand-core/src/refusal_code.rs
+++ b/crates/ebonystand-core/src/refusal_code.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Stable code of a refusal, as callers see it.
+/// Stable code of a refusal, as sent to callers.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// The workspace has used its allowance.
+    /// The workspace has used up its allowance.
     #[display("allowance_exhausted")]
     AllowanceExhausted,
-    /// The body is not what the path takes.
+    /// The request's body is not valid for its path.
     #[display("bad_body")]
     BadBody,
     /// A header is missing or malformed.
     #[display("bad_header")]
     BadHeader,
-    /// The body is larger than the limit.
+    /// The request's body exceeds the size limit.
     #[display("body_too_large")]
     BodyTooLarge,
     /// The deadline has passed or cannot be met.
@@ -27,25 +27,25 @@
     /// The request came back to the gateway from one of its upstreams.
     #[display("loop_detected")]
     LoopDetected,
-    /// The VM cannot serve yet or no longer reaches what it needs.
+    /// The VM cannot serve requests yet, or has lost the connections that it needs to serve them.
     #[display("not_ready")]
     NotReady,
-    /// The order ran; its answer is no longer stored.
+    /// The order ran, but its answer is no longer stored.
     #[display("order_answer_dropped")]
     OrderAnswerDropped,
-    /// The order key was used with another body.
+    /// The order key was used before with another body.
     #[display("order_conflict")]
     OrderConflict,
-    /// The order key is so old that its order is forgotten; it may have run.
+    /// The order key is so old that its order is forgotten. The order may have run.
     #[display("order_expired")]
     OrderExpired,
-    /// The call needs an order key.
+    /// The request needs an order key.
     #[display("order_key_missing")]
     OrderKeyMissing,
-    /// The order's first try may have run; it is never run again.
+    /// The order's first attempt may have run. It is never run again.
     #[display("order_unknown")]
     OrderUnknown,
-    /// All upstreams that may serve it are too busy.
+    /// All upstreams that may serve the request are too busy.
     #[display("overloaded")]
     Overloaded,
     /// The request has crashed upstreams.
@@ -54,25 +54,25 @@
     /// The workspace may not be served in this VM's region.
     #[display("residency")]
     Residency,
-    /// No or no valid key.
+    /// The request has no key or an invalid one.
     #[display("unauthorized")]
     Unauthorized,
-    /// The workspace may use no such model.
+    /// The model does not exist, or the workspace may not use it.
     #[display("unknown_model")]
     UnknownModel,
-    /// No such path, service or call.
+    /// The path, service or call does not exist.
     #[display("unknown_path")]
     UnknownPath,
     /// The upstream failed.
     #[display("upstream_failed")]
     UpstreamFailed,
-    /// No upstream may serve it now.
+    /// No upstream may serve the request now.
     #[display("no_upstream")]
     NoUpstream,
 }
 
 impl RefusalCode {
-    /// HTTP status that goes with the code.
+    /// HTTP status that is sent with the code.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
--- a/crates/ebonystand-core/src/rendezvous_hash.rs
+++ b/crates/ebonystand-core/src/rendezvous_hash.rs
@@ -1,7 +1,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// RendezvousHash (highest random weight) hashing: VMs with equal lists agree without a message,
-/// and a VM that comes or goes moves only its own part of the keys.
+/// Rendezvous hash (highest random weight): VMs with equal lists select the same owner without
+/// exchanging messages, and a VM that joins or leaves moves only its own share of the keys.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RendezvousHash {
     key: u64,
--- a/crates/ebonystand-core/src/route.rs
+++ b/crates/ebonystand-core/src/route.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// A routing decision, with what its log line needs.
+/// Routing decision for one request, with the fields of its log line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// Where the upstream listens.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// The best of the upstreams that were weighed, best first; at most
+    /// The best upstreams that were considered, in ascending order of score; at most
     /// [`Route::MAX_LOGGED_CANDIDATES`].
     pub candidates: Vec<RouteCandidate>,
-    /// Cost of a thousand tokens or of a call there.
+    /// Cost of a thousand tokens, or of one call, at the upstream.
     pub cost: u64,
     /// Predicted time to first token.
     pub predicted: Duration,
-    /// Why this one.
+    /// Reason for the choice of the upstream.
     pub reason: RouteReason,
     /// Region of the upstream.
     pub region: RegionId,
-    /// The upstream.
+    /// Id of the chosen upstream.
     pub upstream: UpstreamId,
-    /// Work to pass to [`Router::started`] and [`Router::finished`].
+    /// Work in generated tokens, to be passed to [`Router::record_dispatch`].
     pub work: Tokens,
 }
 
 impl Route {
-    /// Candidates that a decision names.
+    /// Largest number of candidates in a decision's log line.
     pub const MAX_LOGGED_CANDIDATES: usize = 4;
 }
 
 impl std::fmt::Display for Route {
-    /// The decision's log line, without the request's own fields.
+    /// Formats the decision for its log line, without the fields of the request.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let predicted = self.predicted.as_millis();
         write!(
--- a/crates/ebonystand-core/src/route_candidate.rs
+++ b/crates/ebonystand-core/src/route_candidate.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// An upstream that a routing decision weighed.
+/// Upstream that a routing decision considered, as logged.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{upstream}:{}/{}", predicted.as_millis(), score.as_millis())]
 pub struct RouteCandidate {
     /// Predicted time to first token.
     pub predicted: Duration,
-    /// Predicted time, weighted cost and a random part, the lowest being the best.
+    /// Sum of predicted time, weighted cost and random part. The lowest score is the best.
     pub score: Duration,
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
 }
--- a/crates/ebonystand-core/src/route_refusal.rs
+++ b/crates/ebonystand-core/src/route_refusal.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// Why no upstream gets a request; nothing of it has run.
+/// Reason why no upstream gets a request. The request has not run.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub(crate) enum RouteRefusal {
     #[snafu(display("the deadline has passed"))]
     DeadlinePassed,
     #[snafu(display("no upstream that may serve {target} is up"))]
     NoneAvailable {
-        /// When one of them gets requests again, if that is known.
+        /// Time until an upstream accepts requests again, if known.
         reopens_in: Option<Duration>,
         target: Target,
     },
     #[snafu(display("no upstream is predicted to answer in time"))]
     Overloaded {
-        /// Predicted time beyond the limit.
+        /// Time by which the best prediction exceeds the limit.
         beyond: Duration,
     },
     #[snafu(display("no upstream serves {target}"))]
@@ -21,11 +21,11 @@
 }
 
 impl RouteRefusal {
-    /// Longest time that a caller is told to stay away.
+    /// Upper bound of the time to retry after.
     const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-    /// Shortest time that a caller is told to stay away.
+    /// Lower bound of the time to retry after.
     const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-    /// Time that a caller is told to stay away when nothing is known.
+    /// Time to retry after when it is not known when an upstream will be available.
     const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
     fn code(&self) -> RefusalCode {
--- a/crates/ebonystand-core/src/router.rs
+++ b/crates/ebonystand-core/src/router.rs
@@ -6,10 +6,11 @@
 
 /// Chooses the upstream of each request of one VM.
 ///
-/// A decision weighs two random upstreams a region, the best known one, and the one that is
-/// likely to have the prompt's prefix cached; its cost grows with the regions, not with the
-/// upstreams. It sends nothing: the daemon dispatches straight to the chosen upstream, calls
-/// [`Self::started`] first and [`Self::finished`] once for each start.
+/// A decision scores a random sample of upstreams per region, each region's best known upstream,
+/// and the upstream that is likely to have the prompt's prefix cached. Its cost is bounded, however
+/// many regions and upstreams there are. The router sends nothing itself: the daemon dispatches to
+/// the chosen upstream, calls [`Self::record_dispatch`] right before, and
+/// [`Self::record_dispatch_end`] once for each dispatch.
 #[derive(Clone, Debug)]
 pub struct Router {
     upstreams: UpstreamIndex,
@@ -24,18 +25,22 @@
 }
 
 impl Router {
-    /// Bytes that a generated token or its share of the prompt takes on a link.
+    /// Bytes on a link per token of work: a generated token, or the prompt tokens that count as
+    /// one.
     const BYTES_PER_TOKEN: u64 = 128;
-    /// Dispatches that a VM may have under way however small its share is.
+    /// Smallest result of [`Self::dispatch_slots`], however small the VM's share of the slots is.
     const MIN_SLOTS: u32 = 4;
-    /// Largest random part of a score, as a multiple of the request's time on an idle upstream.
+    /// Upper bound of the random part of a score, as a multiple of the request's time on an idle
+    /// upstream.
     const MAX_JITTER_FACTOR: f64 = 2.0;
-    /// Part of its share of the batches that a VM may use: what others leave is not lost.
+    /// Factor by which a VM may exceed its share of the slots, so that slots which other VMs leave
+    /// unused are not lost.
     const SLOTS_HEADROOM_FACTOR: f64 = 1.25;
-    /// Predicted delay to another availability zone of the region, in milliseconds.
+    /// Delay in milliseconds that is added for an upstream in another availability zone of the
+    /// region.
     const CROSS_ZONE_DELAY_MS: f64 = 1.0;
 
-    /// Router of a VM that stands at `here`; it refuses everything until it is configured.
+    /// Creates the router of a VM at `own_place`. It refuses all requests until it is configured.
     #[must_use]
     pub fn new(own_place: Place, seed: u64) -> Self {
         Self {
@@ -51,8 +56,8 @@
         }
     }
 
-    /// Takes an event of an engine's prefix cache. A gap drops all hints to the engine: what
-    /// it evicted meanwhile is not known, and a wrong hint would cost a cold prefill.
+    /// Handles an event of an engine's prefix cache. A gap in the sequence drops all hints to the
+    /// engine: its evictions during the gap are unknown, and a wrong hint costs a cold prefill.
     pub fn handle_cache_event(&mut self, upstream: &str, event: CacheEvent) {
         let Some(index) = self.upstreams.find_index(upstream) else {
             return;
@@ -74,7 +79,7 @@
         }
     }
 
-    /// Takes a document; one that is older than the one in force is ignored.
+    /// Applies a configuration document. A document older than the current one is ignored.
     pub fn configure(&mut self, now: Duration, document: &Document) {
         if self
             .version
@@ -90,8 +95,8 @@
         self.links.configure(now, &self.own_place, document);
     }
 
-    /// Whether a request may still be sent to an upstream that was chosen earlier. To be asked
-    /// right before a dispatch that has waited: the configuration may have changed since.
+    /// Whether a request may still be sent to an upstream that was chosen earlier. Call it right
+    /// before a dispatch that was queued, since the configuration may have changed in the meantime.
     #[must_use]
     pub fn can_dispatch(&self, now: Duration, query: &RouteQuery, upstream: &str) -> bool {
         let Some(index) = self.upstreams.find_index(upstream) else {
@@ -105,7 +110,7 @@
                 .contains(self.upstreams.region(state.region))
     }
 
-    /// Notes the end of a dispatch.
+    /// Records the end of a dispatch.
     pub fn record_dispatch_end(&mut self, now: Duration, upstream: &str, end: DispatchEnd) {
         let Some(index) = self.upstreams.find_index(upstream) else {
             return;
@@ -120,18 +125,18 @@
         }
     }
 
-    /// Budget of the link to another region, for what is sent beside requests.
+    /// Bandwidth budget of the link to another region, for traffic other than requests.
     pub fn link_budget_mut(&mut self, region: &str) -> Option<&mut LinkBudget> {
         self.links.find_mut(region)
     }
 
-    /// The name of a query's prefix in cache events, scoped to workspace and target.
+    /// Key of the query's prefix in cache events. It depends on the workspace and the target.
     #[must_use]
     pub fn prefix_key(query: &RouteQuery) -> u64 {
         PrefixHints::key(query.workspace, query.target, query.prefix)
     }
 
-    /// Takes a load report; it counts from the time it was measured.
+    /// Records a load report, dated to the time of its measurement.
     pub fn record_load_report(&mut self, now: Duration, upstream: &str, report: LoadReport) {
         let Some(index) = self.upstreams.find_index(upstream) else {
             return;
@@ -145,13 +150,17 @@
             .observe(own, state.load.reported_requests());
     }
 
-    /// Chooses an upstream.
+    /// Chooses the upstream of a request.
     ///
     /// # Errors
     ///
-    /// A final refusal that has not run: `UnknownModel` or `NoUpstream` if nothing serves the
-    /// target, `NoUpstream` if nothing that may serve it is up, `Deadline` if it has passed,
-    /// `Overloaded` with the time to come back after if no first token is predicted in time.
+    /// A final refusal of a request that has not run:
+    ///
+    /// - `UnknownModel` or `NoUpstream` if no upstream serves the target,
+    /// - `NoUpstream` if no allowed upstream that serves it is available,
+    /// - `Deadline` if the deadline has passed,
+    /// - `Overloaded`, with a time to retry after, if no upstream is predicted to send the first
+    ///   token in time.
     pub fn route(&mut self, now: Duration, query: &RouteQuery) -> Result<Route, Refusal> {
         if query.deadline.is_zero() {
             return Err(RouteRefusal::DeadlinePassed.into());
@@ -179,15 +188,15 @@
         route
     }
 
-    /// Tells how many VMs of the region share its links; a budget counts from the next document
-    /// on.
+    /// Sets how many VMs of the region share its links. It takes effect with the next document.
     pub fn set_sharing_vms(&mut self, vms: u32) {
         self.links.share(vms);
     }
 
-    /// Dispatches that this VM should have under way at a time for a target: its share of the
-    /// batches of the own region's upstreams, or of all if the region has none, and a quarter
-    /// more. For [`FairQueue::set_slots`], about once a second: looks at each of these upstreams.
+    /// Number of concurrent dispatches that this VM should allow for a target: its share of the
+    /// slots of the own region's upstreams, or of all regions' if the own region has none, times
+    /// [`Self::SLOTS_HEADROOM_FACTOR`]. It is the input of [`FairQueue::set_slots`] about once a
+    /// second, and visits each of these upstreams.
     #[must_use]
     pub fn dispatch_slots(&self, now: Duration, target: &Target) -> u32 {
         let groups = self.upstreams.groups(target).unwrap_or_default();
@@ -203,7 +212,8 @@
         (share.ceil() as u32).max(Self::MIN_SLOTS)
     }
 
-    /// Notes a dispatch, right before its first byte is sent. `work` is that of the route.
+    /// Records a dispatch of `work` as given by [`Route::work`], right before its first byte is
+    /// sent.
     pub fn record_dispatch(&mut self, now: Duration, upstream: &str, work: Tokens) {
         let Some(index) = self.upstreams.find_index(upstream) else {
             return;
@@ -271,7 +281,7 @@
         }
     }
 
-    /// Batch places of a group's upstreams that are up, cold ones in part.
+    /// Number of slots of a group's available upstreams. A cold upstream counts in part.
     fn available_slots(&self, now: Duration, group: &UpstreamGroup) -> f64 {
         let slow_start = Duration::from_millis(self.preset.slow_start_ms);
         let states = group.members.iter().map(|index| self.upstreams.get(*index));
@@ -281,7 +291,8 @@
             .sum()
     }
 
-    /// The upstream that is likely to have the query's prefix cached.
+    /// Upstream that is likely to have the query's prefix cached, if the hint is still valid and
+    /// the upstream may serve the query.
     fn hinted_upstream(&self, query: &RouteQuery) -> Option<u32> {
         if query.prefix_tokens == 0 {
             return None;
@@ -295,14 +306,15 @@
         counts.then_some(index)
     }
 
-    /// Predicted time to first token above which a request is shed, in milliseconds.
+    /// Longest acceptable predicted time to first token in milliseconds. Above it a request is
+    /// refused.
     fn max_first_token_ms(&self, query: &RouteQuery) -> f64 {
         let deadline = query.deadline.as_secs_f64() * 1_000.0;
         deadline.min(self.preset.shed_above_ms as f64)
     }
 
-    /// Time in milliseconds that the link adds to the first token; none if the upstream's region
-    /// is not of the document.
+    /// Time in milliseconds that the link adds to the time to first token. None if the upstream's
+    /// region is not in the document.
     fn link_delay_ms(
         &self,
         now: Duration,
@@ -319,7 +331,7 @@
         Some((2 * link.delay() + wait).as_secs_f64() * 1_000.0)
     }
 
-    /// Weighs one upstream; none if it may not get the request.
+    /// Predicts and scores one upstream. None if it may not get the request.
     fn score_upstream(
         &self,
         now: Duration,
@@ -360,7 +372,7 @@
         })
     }
 
-    /// Weighs a few upstreams of each region that may serve the request.
+    /// Scores a sample of the upstreams of some regions, and remembers the best of each region.
     fn score_sample(
         &mut self,
         now: Duration,
@@ -396,7 +408,7 @@
         }
     }
 
-    /// Weighs more upstreams before a request is refused.
+    /// Scores more upstreams before a request is refused.
     fn score_scan(
         &mut self,
         now: Duration,
@@ -412,7 +424,7 @@
         self.rng = rng;
     }
 
-    /// Refusal of a request that no upstream can take.
+    /// Refusal of a request that no upstream can serve.
     fn no_upstream_refusal(&mut self, now: Duration, query: &RouteQuery) -> RouteRefusal {
         let target = query.target.clone();
         let Some(groups) = self.upstreams.groups(query.target) else {
--- a/crates/ebonystand-core/src/upstream_group.rs
+++ b/crates/ebonystand-core/src/upstream_group.rs
@@ -3,18 +3,20 @@
 /// Upstreams of one region that serve one target.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamGroup {
-    /// Best upstream of earlier decisions of this VM.
+    /// Best upstream of this VM's earlier decisions.
     pub(crate) best_known: Option<u32>,
-    /// Upstreams that are not leaving.
+    /// Indices of the upstreams that are not leaving, in ascending order.
     pub(crate) members: Vec<u32>,
     pub(crate) region: u32,
 }
 
 impl UpstreamGroup {
-    /// Members that are looked at, from a random one on, when none of the choices will do.
+    /// Largest number of members that are scored, starting from a random one, when no sampled
+    /// upstream is acceptable.
     pub(crate) const MAX_SCANNED: usize = 64;
-    /// Members of a group of which all are weighed. Of a larger one, two random ones cut the
-    /// longest queue exponentially against one, at a cost that does not grow with the group.
+    /// Size up to which all members of a group are scored. In a larger group, sampling two members
+    /// instead of one shortens the longest queue exponentially, at a cost that does not grow with
+    /// the group.
     const MAX_FULLY_SAMPLED: usize = 12;
 
     pub(crate) fn add_member(&mut self, index: u32, leaving: bool) {
@@ -34,8 +36,8 @@
         &mut groups[at]
     }
 
-    /// All members of a small group if `is_whole`; otherwise random ones, and the best known one
-    /// last.
+    /// Visits all members of a small group if `is_whole` is set. Otherwise it visits two random
+    /// members and then the best known one.
     pub(crate) fn sample(
         &self,
         rng: &mut Pcg64Mcg,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Up to [`Self::MAX_SCANNED`] members from a random one on.
+    /// Visits up to [`Self::MAX_SCANNED`] members, starting from a random one.
     pub(crate) fn scan(&self, rng: &mut Pcg64Mcg, mut visit: impl FnMut(u32)) {
         if self.members.is_empty() {
             return;
--- a/crates/ebonystand-core/src/upstream_index.rs
+++ b/crates/ebonystand-core/src/upstream_index.rs
@@ -1,6 +1,6 @@
 use {super::*, rustc_hash::FxHashMap};
 
-/// Upstreams of the document in force, found by target and region.
+/// Index of the upstreams in the current document, by id and by target and region.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamIndex {
     by_id: FxHashMap<UpstreamId, u32>,
@@ -12,10 +12,10 @@
 }
 
 impl UpstreamIndex {
-    /// Regions of which a decision weighs some upstreams, beside the own one.
+    /// Number of regions other than the own one whose upstreams a decision scores.
     pub(crate) const MAX_SAMPLED_REGIONS: usize = 6;
 
-    /// The target's regions that may serve the query.
+    /// The target's upstreams, grouped by region, in the regions that the query's residency allows.
     pub(crate) fn allowed_groups<'a>(
         &'a self,
         query: &'a RouteQuery,
@@ -26,8 +26,8 @@
             .filter(|group| query.residency.contains(self.region(group.region)))
     }
 
-    /// Takes over a document. Known upstreams keep their load, circuit and place; new ones start
-    /// slowly unless `warm`.
+    /// Applies a document. Upstreams that were known before keep their load and circuit breaker.
+    /// New ones go through slow start unless `warm` is set.
     pub(crate) fn configure(
         &mut self,
         now: Duration,
@@ -79,8 +79,9 @@
         &self.regions
     }
 
-    /// The regions to look at: the own one and, from a random one on, a few others, so that the
-    /// cost of a decision does not grow with the regions.
+    /// Groups that a decision scores: the own region's, and those of a few other regions starting
+    /// from a random one. Their number is bounded, so that the cost of a decision does not grow
+    /// with the number of regions.
     pub(crate) fn sampled_groups<'a>(
         &'a self,
         query: &'a RouteQuery,
--- a/crates/ebonystand-core/src/upstream_state.rs
+++ b/crates/ebonystand-core/src/upstream_state.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// An upstream as the router of one VM knows it.
+/// State of an upstream as the router of one VM tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) address: SocketAddr,
     pub(crate) circuit: CircuitBreaker,
-    /// Last sequence number of its cache events.
+    /// Sequence number of the upstream's last cache event.
     pub(crate) cache_sequence: u64,
     pub(crate) cost: u64,
-    /// Raised when its caches may be lost, so that older prefix hints no longer count.
+    /// Counter that is incremented when the upstream's caches may be lost, which invalidates older
+    /// prefix hints.
     pub(crate) generation: u32,
     pub(crate) id: UpstreamId,
     pub(crate) is_in_own_region: bool,
@@ -17,7 +18,7 @@
     pub(crate) load: ObservedLoad,
     pub(crate) region: u32,
     pub(crate) speed: u64,
-    /// When it came back cold; none if it is warm.
+    /// Time at which the upstream became available with cold caches; none if it was never cold.
     pub(crate) cold_since: Option<Duration>,
 }
 
@@ -47,13 +48,13 @@
         }
     }
 
-    /// Starts slow start anew and drops its prefix hints.
+    /// Restarts slow start and invalidates the prefix hints to the upstream.
     pub(crate) fn mark_cold(&mut self, now: Duration) {
         self.cold_since = Some(now);
         self.generation = self.generation.wrapping_add(1);
     }
 
-    /// Share of its speed to count on, between [`Self::COLD_SPEED_SHARE`] and 1.
+    /// Share of the upstream's speed to count on, from [`Self::COLD_SPEED_SHARE`] to 1.
     pub(crate) fn slow_start_factor(&self, now: Duration, slow_start: Duration) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
--- a/crates/ebonystand-core/src/upstream_status.rs
+++ b/crates/ebonystand-core/src/upstream_status.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// An upstream as one VM sees it.
+/// State of an upstream as one VM sees it, for operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamStatus {
-    /// It may get new work from this VM.
+    /// Whether the upstream may get new work from this VM.
     pub available: bool,
-    /// Its name.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Requests of this VM that run on it.
+    /// Number of requests of this VM that run on the upstream.
     pub in_flight: u64,
-    /// It finishes what it has.
+    /// Whether the upstream is leaving: it finishes its requests and gets no new ones.
     pub leaving: bool,
-    /// Region it stands in.
+    /// Region of the upstream.
     pub region: RegionId,
-    /// Age of its last load report, in milliseconds.
+    /// Age of the last load report in milliseconds; none without a report.
     pub report_age_ms: Option<u64>,
-    /// Requests waiting or running on it by its last load report.
+    /// Number of requests that wait or run on the upstream by its last load report.
     pub reported_load: Option<u64>,
 }
--- a/crates/ebonystand-core/tests/fair_queue.rs
+++ b/crates/ebonystand-core/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! One workspace at ten times its rate beside others within theirs.
+//! Fair queueing between a workspace at ten times its rate and others within theirs.
 
 mod common;
 
@@ -23,15 +23,16 @@
     }
 }
 
-/// A request of the simulation, with its times in milliseconds.
+/// A request of the simulation, with its arrival and service time in milliseconds.
 struct Arrival {
     service: u64,
     since: u64,
     workspace: usize,
 }
 
-/// Ten minutes of five workspaces with random arrivals and services of half a second on average.
-/// Each uses `load` thousandths of a fifth of the slots, and the first `times` as much.
+/// Arrivals of five workspaces over ten minutes, with random intervals and service times of half a
+/// second on average. Each workspace uses `load` thousandths of a fifth of the slots, and the first
+/// one `times` as much.
 fn arrivals(load: u64, times: u64) -> Vec<Arrival> {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let mut arrivals = Vec::new();
@@ -54,7 +55,8 @@
     arrivals
 }
 
-/// Sorted waits in milliseconds of all but the first workspace, and how many of theirs were shed.
+/// Sorted waits in milliseconds of all workspaces but the first one, and the number of their
+/// requests that were shed.
 fn simulate(load: u64, times: u64) -> (Vec<u64>, usize) {
     let arrivals = arrivals(load, times);
     let name = |id: usize| format!("w{}", arrivals[id].workspace);
@@ -94,8 +96,8 @@
     (waits, shed)
 }
 
-/// A workspace sends ten times its rate. In a plain queue the others' requests stand behind its
-/// burst; here theirs must wait at most a tenth longer, and none of theirs may be shed.
+/// A workspace sends ten times its rate. In a plain queue the requests of the others would wait
+/// behind its burst. Here they may wait at most a tenth longer, and none of them may be shed.
 #[rstest]
 fn a_burst_moves_the_others_waits_by_no_more_than_a_tenth(#[values(600, 800, 900)] load: u64) {
     let (calm, _) = simulate(load, 1);
@@ -117,8 +119,8 @@
     assert!(figures(&burst)[1] * 10 <= figures(&calm)[1] * 11);
 }
 
-/// The queue is full of one workspace's requests. Another's first request must find a place, and
-/// the burst's own next one must be refused at once.
+/// The queue is full of one workspace's requests. The first request of another must get a place,
+/// and the next one of the burst must be refused at once.
 #[test]
 fn a_full_queue_sheds_the_longest_backlog() {
     let mut queue = FairQueue::new(1, 3 * WORK);
@@ -143,8 +145,8 @@
     assert_eq!(order.collect::<Vec<_>>(), [5, 1, 2]);
 }
 
-/// A caller leaves, and another's deadline passes, while their requests wait. Neither may be sent
-/// to an upstream any more, and their places come back.
+/// While requests wait, one caller leaves and another's deadline passes. Neither request may be
+/// sent to an upstream any more, and both places become free.
 #[test]
 fn what_nobody_waits_for_is_never_dispatched() {
     let mut queue = FairQueue::new(1, 10 * WORK);
@@ -163,8 +165,8 @@
     assert_eq!(queue.pop().map(|entry| entry.id), Some(3));
 }
 
-/// A workspace with a backlog is served last at the engines too, where another VM's requests of
-/// calm workspaces wait beside its own.
+/// A workspace with a backlog also gets the lowest priority at the engines, where its requests
+/// compete with those that other VMs send for workspaces without a backlog.
 #[test]
 fn a_backlog_lowers_the_engine_priority() {
     let mut queue = FairQueue::new(1, 1_000 * WORK);
--- a/crates/ebonystand-core/tests/herd.rs
+++ b/crates/ebonystand-core/tests/herd.rs
@@ -1,4 +1,4 @@
-//! Many VMs with the same stale load reports.
+//! Routing by many VMs with the same stale load reports.
 
 mod common;
 
@@ -14,12 +14,13 @@
 const VMS: usize = 9;
 const WORK: Tokens = 300;
 
-/// Requests at each upstream, by the VM that sent them.
+/// Requests at each upstream, as the index of the VM that sent them.
 type Queues = Vec<VecDeque<usize>>;
 
-/// Highest over mean queue in thousandths, on average over the later seconds. Each second starts
-/// with a report of the queues and ends with `PER_ROUND` answers by each upstream; in between
-/// every VM sends 18 requests, nine tenths of what the upstreams can do.
+/// Average ratio of the longest to the mean queue in thousandths, over the second half of the
+/// seconds. Each second starts with a report of the queues and ends with `PER_ROUND` answers by
+/// each upstream. In between, every VM sends 18 requests, in total nine tenths of the upstreams'
+/// capacity.
 fn imbalance(
     mut send: impl FnMut(Duration, &mut Queues),
     mut answered: impl FnMut(Duration, usize, usize),
@@ -72,9 +73,10 @@
     }
 }
 
-/// Nine VMs see the same reports, up to a second old. If each sends to the upstream that looks
-/// idlest, all send to the same one: its queue grows by the whole fleet's traffic while others
-/// idle, and callers wait behind it. The VMs must spread although none sees the others.
+/// Nine VMs see the same reports, which are up to a second old. If each sends to the upstream that
+/// looks idlest, all send to the same one: its queue grows by the traffic of the whole fleet while
+/// others are idle, and callers wait in it. The VMs must spread their requests although none sees
+/// those of the others.
 #[test]
 fn vms_with_the_same_stale_reports_spread() {
     let mut document = document(&[UPSTREAMS, 0, 0]);
--- a/crates/ebonystand-core/tests/policy.rs
+++ b/crates/ebonystand-core/tests/policy.rs
@@ -1,5 +1,6 @@
-//! Our policy against the obvious ones, in simulated time at both deployments' sizes. Figures are
-//! printed by `cargo test -p ebonystand-core --test policy -- --nocapture --test-threads 1`.
+//! Compares the routing policy with common ones, in simulated time at the size of both deployments.
+//! `cargo test -p ebonystand-core --test policy -- --nocapture --test-threads 1` prints the
+//! figures.
 
 mod common;
 
@@ -9,14 +10,14 @@
     rstest::rstest,
 };
 
-/// Ten drafting servers; the worst-served workspace and refusals weigh more.
+/// Deployment with ten drafting servers, where the worst-served workspace and refusals matter more.
 fn seremban_jaya() -> Document {
     let mut document = document(&[4, 3, 3]);
     document.presets.ordinary.send_away_gain_ms = 100;
     document
 }
 
-/// Twelve advice servers; tail latency and the share sent away weigh more.
+/// Deployment with twelve advice servers, where tail latency and the share sent away matter more.
 fn lait_breizh() -> Document {
     let mut document = document(&[4, 4, 4]);
     document.presets.ordinary.send_away_gain_ms = 150;
@@ -37,11 +38,11 @@
 }
 
 /// Nine VMs see reports that are up to three quarters of a second old. The same callers, engines
-/// and delays under four policies: whichever load comes, ours must serve the slowest hundredth
-/// sooner than each of the others, and refuse no more; the worst-served workspace may fare worse
-/// than under another by a tenth at most, and least reported load must be seen to herd. Only on
-/// an even, ordinary day, when nothing needs to be sent away, a round robin over the own region
-/// may be sooner at p99, by a fifth at most: see the decision on routing.
+/// and delays run under four policies. At every load, the router must have a lower p99 than each
+/// other policy and refuse no more requests. Its worst-served workspace may be at most a tenth
+/// slower, and least reported load must visibly send all VMs to the same upstream. There is one
+/// exception: at even, ordinary load nothing needs to be sent away, and a round robin over the own
+/// region may have a p99 that is lower by up to a fifth.
 #[rstest]
 fn ours_serves_the_slowest_hundredth_sooner_than_the_obvious_policies(
     #[values(seremban_jaya, lait_breizh)] deployment: fn() -> Document,
@@ -67,8 +68,8 @@
     }
 }
 
-/// Each obvious policy has a load that it serves badly. Over the four loads, the worst p99 of ours
-/// must be lower than that of each of the others.
+/// Each common policy has a load that it serves badly. Over the four loads, the highest p99 of the
+/// router must be lower than that of each other policy.
 #[rstest]
 fn the_worst_load_is_served_better_than_by_each_obvious_policy(
     #[values(seremban_jaya, lait_breizh)] deployment: fn() -> Document,
--- a/crates/ebonystand-core/tests/request_policy.rs
+++ b/crates/ebonystand-core/tests/request_policy.rs
@@ -1,4 +1,4 @@
-//! Retries, link budgets and entry lists.
+//! Retry budgets, link budgets and entry lists.
 
 mod common;
 
@@ -11,8 +11,8 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// Every request fails at once. Each failed one is worth a retry by itself, but all of them
-/// together would double the load on upstreams that are down because of it.
+/// Every request fails at the same time. Each one is worth a retry, but all retries together would
+/// double the load on upstreams that are failing because of it.
 #[test]
 fn retries_stay_within_the_budget_while_everything_fails() {
     let preset = Preset::default();
@@ -25,9 +25,9 @@
     assert!((1_000..=2_100).contains(&retries), "{retries}");
 }
 
-/// Upstreams fail all requests of some seconds, stop and begin again. Wherever a span of ten seconds
-/// begins, the retries in it are a tenth of the requests at most: counted in windows that turn, those
-/// at the end of one and at the start of the next but one came to twice that.
+/// Upstreams fail all requests for some seconds, recover, and fail again. In any span of ten
+/// seconds, the retries may be at most a tenth of the requests. A budget counted in fixed windows
+/// allows twice that, at the end of one window and the start of the next but one.
 #[rstest]
 #[case(4_000, 9_000)]
 #[case(4_900, 10_100)]
@@ -55,7 +55,7 @@
     assert!(most > share / 2, "{most} of {share}");
 }
 
-/// A VM that has had few requests may still retry one that met a broken connection.
+/// A VM that has had few requests may still retry some whose connection broke.
 #[test]
 fn a_quiet_vm_may_retry_a_few_times() {
     let mut budget = RetryBudget::default();
@@ -65,9 +65,9 @@
     assert_eq!(granted as u64, RetryBudget::FEWEST);
 }
 
-/// Four of ten engines are down and refuse connections. A VM with little traffic meets them again
-/// and again; each request must still reach an engine that is up, since none of these tries put
-/// load on any engine, and they must leave the budget to requests that did.
+/// Four of ten engines are down and refuse connections, and a VM with little traffic tries them
+/// again and again. Each request must still reach an engine that is up: such an attempt puts no
+/// load on an engine, so it must not use up the budget for retries that do.
 #[test]
 fn a_request_that_was_not_sent_costs_no_budget() {
     let mut budget = RetryBudget::default();
@@ -78,8 +78,9 @@
     assert_eq!(granted as u64, RetryBudget::FEWEST);
 }
 
-/// A delivery order's connection breaks after its first byte was sent. It may have run: sent
-/// again it would ship twice. Nor may an answer be started anew that the caller has a part of.
+/// A delivery order's connection breaks after its first byte was sent. The order may have run, and
+/// a retry could ship it twice. An answer that the caller has partly received must not be restarted
+/// either.
 #[rstest]
 #[case::not_sent(true, false, false, Retryable::NotStarted)]
 #[case::sent_once_only(true, true, false, Retryable::Never)]
@@ -98,8 +99,8 @@
     assert_eq!(granted, expected != Retryable::Never);
 }
 
-/// A snapshot is sent over a link of a hundred megabits. It may take what is idle, but requests
-/// keep their part and heartbeats theirs, or the region would look lost.
+/// A snapshot is sent over a link of a hundred megabits. It may use idle bandwidth, but requests
+/// and heartbeats must keep their share, or the region would appear lost.
 #[test]
 fn bulk_leaves_room_for_requests_and_requests_for_control() {
     let link = Link {
@@ -138,8 +139,8 @@
     (0..9).map(vm).collect()
 }
 
-/// A caller asks which VMs to use. One that is leaving, or that stands outside the key's
-/// residency, would refuse it; one in another region would cost each request a slow link.
+/// A caller asks which VMs to use. A VM that is leaving or outside the key's residency would refuse
+/// its requests, and one in another region would cost each request a slow link.
 #[test]
 fn an_entry_list_names_near_vms_first_and_no_leaving_or_foreign_one() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -160,7 +161,7 @@
     }
 }
 
-/// One large workspace has a single key. Its callers must not all press into the same VM.
+/// One large workspace has a single key. Its callers must not all choose the same VM.
 #[test]
 fn callers_of_one_key_spread_over_the_vms() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
--- a/crates/ebonystand-core/tests/routing.rs
+++ b/crates/ebonystand-core/tests/routing.rs
@@ -1,12 +1,12 @@
-//! Which upstream gets a request, and which never does.
+//! Choice of the upstream that gets a request, and the upstreams that must never get it.
 
 mod common;
 
 use {common::*, ebonystand_core::*, rstest::rstest, std::time::Duration};
 
-/// A family's request may only run in iroise. Its VM stands in armor, where ten idle upstreams
-/// wait, and the one upstream in iroise is busy. However the loads lie, no request may go to
-/// another region, neither first nor when a retry excludes the upstream that failed.
+/// A family's requests may only run in iroise. Its VM is in armor, which has ten idle upstreams,
+/// while both upstreams in iroise are busy. Whatever the load, no request may go to another region,
+/// neither at first nor when a retry excludes the upstream that failed.
 #[rstest]
 fn no_request_leaves_its_residency(#[values(0, 2_000, 1_000_000)] queued: Tokens) {
     let mut router = router(&document(&[10, 10, 2]));
@@ -31,7 +31,7 @@
 }
 
 /// A workspace's prompts are cached in armor when an operator narrows its residency to argoat. The
-/// hint must not lead its next request back.
+/// prefix hint must not route its next request back to armor.
 #[test]
 fn a_prefix_hint_never_overrides_residency() {
     let mut router = router(&document(&[1, 1, 0]));
@@ -45,9 +45,9 @@
     }
 }
 
-/// A request is routed, then waits for a slot. Meanwhile an operator narrows the workspace's
-/// residency, puts the upstream on leave, or gives its name to a server in another region. The
-/// dispatch asks again right before its first byte and must be told no.
+/// A request is routed and then waits for a slot. Meanwhile an operator narrows the workspace's
+/// residency, sets the upstream to leaving, moves its name to a server in another region, removes
+/// it or changes its models. The check right before the dispatch must reject the upstream.
 #[rstest]
 #[case::residency(|_: &mut Document| (), &["argoat"])]
 #[case::leaving(|document: &mut Document| {
@@ -79,8 +79,8 @@
     assert!(!router.can_dispatch(ms(3), &query(&target, &after), &route.upstream));
 }
 
-/// Two documents cross on their way. The older one comes last and must not undo the newer one,
-/// which put an upstream on leave.
+/// Two documents arrive out of order. The older one arrives last and must not undo the newer one,
+/// which sets an upstream to leaving.
 #[test]
 fn an_older_document_changes_nothing() {
     let old = document(&[1, 0, 0]);
@@ -93,9 +93,9 @@
     assert!(router.route(ms(2), &query(&target, &residency)).is_err());
 }
 
-/// An upstream refuses connections while its last report says that it is idle. Each request sent
-/// there is lost time for its caller; after three failures the VM must send it none until it has
-/// waited, then one alone, and more only after that one was answered.
+/// An upstream refuses connections while its last report shows it idle, and each request sent there
+/// wastes its caller's time. After three failures the VM must send it no requests for a while, then
+/// a single one, and more only after that one was answered.
 #[test]
 fn a_dead_upstream_gets_no_requests_but_one_probe() {
     let mut router = router(&document(&[1, 0, 0]));
@@ -120,8 +120,8 @@
     assert!(router.route(ms(1_201), &query).is_ok());
 }
 
-/// One upstream of five is slow for a reason of its own: its queue is empty, and each answer takes
-/// two seconds to its first token. By its reports it is the idlest and would draw every request.
+/// One upstream of five is slow for a reason of its own: its queue is empty, but each answer takes
+/// two seconds to its first token. By its reports it is the idlest and would attract every request.
 #[test]
 fn an_upstream_whose_answers_are_late_gets_few_requests() {
     let mut router = router(&document(&[5, 0, 0]));
@@ -141,7 +141,8 @@
     assert!(slow < 50, "{slow} of 500; a fifth would be 100");
 }
 
-/// A fifth upstream is added to a region with cold caches. It must be brought to its full share over the preset's time, not at once.
+/// A fifth upstream with cold caches is added to a region. It must reach its full share of the
+/// requests over the preset's slow start, not at once.
 #[test]
 fn a_cold_upstream_gets_its_share_slowly() {
     let mut document = document(&[4, 0, 0]);
@@ -179,8 +180,8 @@
     );
 }
 
-/// Armor is busy, argoat idle behind a link of 15 ms. A caller is sent away only if that is
-/// predicted to gain more than the preset's threshold; a small gain is not worth the link.
+/// Armor is busy, and argoat is idle behind a link of 15 ms. A request is sent away only if the
+/// predicted gain exceeds the preset's threshold; a small gain is not worth the link.
 #[rstest]
 #[case(60, 0, true)]
 #[case(60, 150, false)]
@@ -202,8 +203,9 @@
     assert_eq!(route.reason == RouteReason::SentAway, away);
 }
 
-/// All upstreams have seconds of work queued. The caller must learn at once that it is too late,
-/// and when to come back; one upstream below the limit is found, however few are sampled.
+/// All upstreams have seconds of work queued. The caller must learn at once that its request would
+/// be late, and when to retry. A single upstream below the limit must be found, however few are
+/// sampled.
 #[test]
 fn overload_is_refused_at_once_with_a_time_to_come_back() {
     let mut router = router(&document(&[30, 0, 0]));
@@ -231,9 +233,9 @@
     assert!(router.route(ms(2), &hurried).is_err(), "1 s before 500 ms");
 }
 
-/// Two workspaces send the same prompt prefix. The one that sent it first finds it cached again;
-/// the other must not be routed by it, or its time to first token would tell what the first sent.
-/// A gap in the cache events drops the affinity and no request.
+/// Two workspaces send the same prompt prefix. The first one finds it cached again. The other must
+/// not be routed by it, or its time to first token would reveal what the first one sent. A gap in
+/// the cache events drops the affinity but no request.
 #[test]
 fn prefix_affinity_stays_in_its_workspace_and_ends_with_a_gap() {
     let mut router = router(&document(&[8, 0, 0]));
@@ -261,8 +263,9 @@
     assert_ne!(route.reason, RouteReason::Affinity);
 }
 
-/// Nine VMs stand before ten engines of eight places. If each let through all that the engines
-/// hold, the fair queues would never fill, and a burst would wait at the engines before the others.
+/// Nine VMs share ten engines with eight slots each. If each VM let through as many requests as all
+/// engines hold, the fair queues would never fill, and a burst would wait at the engines ahead of
+/// the other workspaces.
 #[test]
 fn a_vm_takes_its_share_of_the_batches() {
     let mut router = router(&document(&[10, 0, 0]));
