--- a/crates/ebonystand-core/src/workspace_backlog.rs
+++ b/crates/ebonystand-core/src/backlog.rs
@@ -2,7 +2,7 @@
 
 /// Queued and running requests of one workspace in a [`FairQueue`].
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WorkspaceBacklog {
+pub(crate) struct Backlog {
     pub(crate) entries: VecDeque<WaitingEntry>,
     /// Virtual time at which the workspace's last accepted request ends.
     pub(crate) finish: Tokens,
@@ -17,7 +17,7 @@
     pub(crate) start: Tokens,
 }
 
-impl WorkspaceBacklog {
+impl Backlog {
     /// Queued tokens above which a backlog counts as a burst.
     const BURST_TOKENS: Tokens = 8_000;
 
--- a/crates/ebonystand-core/src/circuit_breaker.rs
+++ b/crates/ebonystand-core/src/circuit_breaker.rs
@@ -7,21 +7,24 @@
 /// each of them waits for its first-byte timeout.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct CircuitBreaker {
-    failures: u32,
+    consecutive_failures: u32,
     open_until: Duration,
     is_probing: bool,
 }
 
 impl CircuitBreaker {
-    /// Upper bound of the time without any request.
+    /// Longest time for which an open circuit lets no request through.
     const MAX_OPEN_TIME: Duration = Duration::from_secs(30);
-    /// First time without any request. It doubles with each further failure.
+    /// Time for which the circuit lets no request through once it opens. It doubles with each
+    /// further failure.
     const MIN_OPEN_TIME: Duration = Duration::from_secs(1);
     /// Number of consecutive failures that opens the circuit.
     const FAILURE_THRESHOLD: u32 = 3;
 
+    /// Whether a request may be sent now: the circuit is closed, or due for a probe.
     pub(crate) fn allows_dispatch(&self, now: Duration) -> bool {
-        self.failures < Self::FAILURE_THRESHOLD || (now >= self.open_until && !self.is_probing)
+        self.consecutive_failures < Self::FAILURE_THRESHOLD
+            || (now >= self.open_until && !self.is_probing)
     }
 
     /// Records the end of a dispatch. Returns whether the circuit was opened or closed by it.
@@ -29,12 +32,14 @@
         self.is_probing = false;
         match end {
             DispatchEnd::Answered { .. } => {
-                std::mem::take(&mut self.failures) >= Self::FAILURE_THRESHOLD
+                std::mem::take(&mut self.consecutive_failures) >= Self::FAILURE_THRESHOLD
             }
             DispatchEnd::Cancelled => false,
             DispatchEnd::Failed | DispatchEnd::TimedOut => {
-                self.failures = self.failures.saturating_add(1);
-                let Some(excess_failures) = self.failures.checked_sub(Self::FAILURE_THRESHOLD)
+                self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+                let Some(excess_failures) = self
+                    .consecutive_failures
+                    .checked_sub(Self::FAILURE_THRESHOLD)
                 else {
                     return false;
                 };
@@ -45,11 +50,12 @@
         }
     }
 
+    /// Time until an open circuit lets a probe through.
     pub(crate) fn time_until_probe(&self, now: Duration) -> Duration {
         self.open_until.saturating_sub(now)
     }
 
     pub(crate) fn record_dispatch(&mut self) {
-        self.is_probing = self.failures >= Self::FAILURE_THRESHOLD;
+        self.is_probing = self.consecutive_failures >= Self::FAILURE_THRESHOLD;
     }
 }
--- a/crates/ebonystand-core/src/fair_queue.rs
+++ b/crates/ebonystand-core/src/fair_queue.rs
@@ -12,7 +12,7 @@
 /// requests would wait for one of the burst's requests to end.
 #[derive(Clone, Debug)]
 pub struct FairQueue {
-    backlogs: BTreeMap<WorkspaceId, WorkspaceBacklog>,
+    backlogs: BTreeMap<WorkspaceId, Backlog>,
     capacity: Tokens,
     queued: Tokens,
     running: u32,
@@ -215,8 +215,7 @@
     /// finish time by `work`.
     fn assign_start_tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
         if !self.backlogs.contains_key(workspace) {
-            self.backlogs
-                .insert(workspace.into(), WorkspaceBacklog::default());
+            self.backlogs.insert(workspace.into(), Backlog::default());
         }
         let Some(backlog) = self.backlogs.get_mut(workspace) else {
             return self.virtual_time;
--- a/crates/ebonystand-core/src/fenced_role.rs
+++ b/crates/ebonystand-core/src/fenced_role.rs
@@ -104,7 +104,7 @@
         let FencedRolePhase::Holding {
             fence,
             lease_end,
-            orders_open_at,
+            open_at,
             ..
         } = self.phase
         else {
@@ -113,7 +113,7 @@
         if now >= lease_end {
             return Err(FencedRoleError::LeaseExpired);
         }
-        if !upstream.enforces_fencing && now < orders_open_at {
+        if !upstream.enforces_fencing && now < open_at {
             return Err(FencedRoleError::PredecessorActive);
         }
         if !upstream.enforces_fencing && !self.read_upstreams.contains(id) {
@@ -165,8 +165,7 @@
     /// A read from before the predecessor's last order took effect does not count, since that order
     /// may have changed the state.
     pub fn record_state_read(&mut self, asked: Duration, upstream: UpstreamId) {
-        if matches!(self.phase, FencedRolePhase::Holding { orders_open_at, .. } if asked >= orders_open_at)
-        {
+        if matches!(self.phase, FencedRolePhase::Holding { open_at, .. } if asked >= open_at) {
             self.read_upstreams.insert(upstream);
         }
     }
@@ -207,7 +206,7 @@
         self.phase = FencedRolePhase::Holding {
             fence,
             lease_end: now,
-            orders_open_at: now + wait,
+            open_at: now + wait,
             renewal: 0,
             renewal_sent: None,
         };
--- a/crates/ebonystand-core/src/fenced_role_phase.rs
+++ b/crates/ebonystand-core/src/fenced_role_phase.rs
@@ -15,7 +15,7 @@
         /// Time at which the lease expires.
         lease_end: Duration,
         /// Time from which the predecessor's orders can no longer take effect.
-        orders_open_at: Duration,
+        open_at: Duration,
         /// Sequence number of the last renewal.
         renewal: u64,
         /// Time at which the last renewal was first sent, while it is unanswered.
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -6,6 +6,7 @@
 //! inputs; it returns typed outputs. The daemon turns sockets, timers and files into inputs.
 
 use {
+    backlog::{Backlog, WaitingEntry},
     borrowed_lease::BorrowedLease,
     borrower::Borrower,
     bytes::Bytes,
@@ -61,7 +62,6 @@
     upstream_state::UpstreamState,
     vm_table::VmTable,
     withdrawal_proposals::WithdrawalProposals,
-    workspace_backlog::{WaitingEntry, WorkspaceBacklog},
     xxhash_rust::xxh3::{Xxh3, xxh3_64, xxh3_64_with_seed},
 };
 
@@ -196,6 +196,7 @@
 mod allowance;
 mod append_outcome;
 mod ask_id;
+mod backlog;
 mod body_hash;
 mod borrowed_lease;
 mod borrower;
@@ -357,4 +358,3 @@
 mod withdrawals;
 mod workspace;
 mod workspace_allowance_status;
-mod workspace_backlog;
--- a/crates/ebonystand-core/src/observed_load.rs
+++ b/crates/ebonystand-core/src/observed_load.rs
@@ -3,6 +3,7 @@
 /// Load of one upstream as this VM sees it: the last report, and the VM's own dispatches since.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedLoad {
+    /// Time at which the upstream measured the last report; none before the first one.
     reported_at: Option<Duration>,
     /// Moving average of the time to first token.
     first_token: Duration,
@@ -10,10 +11,11 @@
     first_token_at: Duration,
     in_flight: u32,
     report: LoadReport,
-    unreported: VecDeque<SentDispatch>,
-    unreported_tokens: Tokens,
+    dispatches_since_report: VecDeque<SentDispatch>,
+    tokens_since_report: Tokens,
 }
 
+/// A dispatch of this VM that no report includes yet.
 #[derive(Clone, Copy, Debug)]
 struct SentDispatch {
     at: Duration,
@@ -21,7 +23,7 @@
 }
 
 impl ObservedLoad {
-    /// Time without reports after which an upstream has probably restarted and lost its caches.
+    /// Time without reports after which an upstream has probably lost its caches.
     const COLD_AFTER_SILENCE: Duration = Duration::from_secs(10);
     /// Half-life of the observed time to first token. It fades so that a slow upstream is tried
     /// again.
@@ -38,9 +40,10 @@
     /// Work in generated tokens that is queued before a new request.
     pub(crate) fn work_ahead(&self, now: Duration, speed: f64, factor: f64) -> f64 {
         let queued = self.report.queued_tokens as f64;
-        let sent = self.unreported_tokens as f64 * factor;
+        let sent = self.tokens_since_report as f64 * factor;
         let free = self.report.slots.saturating_sub(self.report.running);
-        let mean = self.unreported_tokens as f64 / self.unreported.len().max(1) as f64;
+        let mean =
+            self.tokens_since_report as f64 / self.dispatches_since_report.len().max(1) as f64;
         let elapsed = now.saturating_sub(self.reported_at.unwrap_or_default());
         let drained = speed * elapsed.min(Self::MAX_ASSUMED_DRAIN).as_secs_f64();
         let ahead = queued + sent - f64::from(free) * mean - drained;
@@ -73,7 +76,7 @@
     /// Requests on the upstream as a share of its slots; above 1 if requests wait.
     pub(crate) fn occupancy(&self, factor: f64) -> f64 {
         let reported = self.report.running + self.report.waiting;
-        let sent = self.unreported.len() as f64 * factor;
+        let sent = self.dispatches_since_report.len() as f64 * factor;
         (f64::from(reported) + sent) / f64::from(self.slots())
     }
 
@@ -88,12 +91,12 @@
         self.reported_at = Some(reported_at);
         self.report = report;
         while let Some(sent) = self
-            .unreported
+            .dispatches_since_report
             .front()
             .filter(|sent| sent.at <= reported_at)
         {
-            self.unreported_tokens -= sent.tokens;
-            self.unreported.pop_front();
+            self.tokens_since_report -= sent.tokens;
+            self.dispatches_since_report.pop_front();
         }
         reported_at - previous > Self::COLD_AFTER_SILENCE
     }
@@ -104,13 +107,14 @@
 
     pub(crate) fn record_dispatch(&mut self, now: Duration, tokens: Tokens) {
         self.in_flight += 1;
-        self.unreported_tokens += tokens;
-        self.unreported.push_back(SentDispatch { at: now, tokens });
-        if self.unreported.len() <= Self::MAX_TRACKED_DISPATCHES {
+        self.tokens_since_report += tokens;
+        self.dispatches_since_report
+            .push_back(SentDispatch { at: now, tokens });
+        if self.dispatches_since_report.len() <= Self::MAX_TRACKED_DISPATCHES {
             return;
         }
-        if let Some(oldest) = self.unreported.pop_front() {
-            self.unreported_tokens -= oldest.tokens;
+        if let Some(oldest) = self.dispatches_since_report.pop_front() {
+            self.tokens_since_report -= oldest.tokens;
         }
     }
 
--- a/crates/ebonystand-core/src/placement/placement_view.rs
+++ b/crates/ebonystand-core/src/placement/placement_view.rs
@@ -97,18 +97,18 @@
     }
 
     fn free_bytes(&self, id: &UpstreamId, engine: &EngineReport) -> u64 {
-        let coming =
+        let loading =
             self.state.pending_loads.keys().filter(|replica| {
                 replica.engine == *id && !engine.models.contains_key(&replica.model)
             });
-        let taken: u64 = engine
+        let used: u64 = engine
             .models
             .keys()
-            .chain(coming.map(|replica| &replica.model))
+            .chain(loading.map(|replica| &replica.model))
             .filter_map(|model| self.state.settings.models.get(model))
             .map(|requirements| requirements.bytes)
             .sum();
-        engine.weight_capacity.saturating_sub(taken)
+        engine.weight_capacity.saturating_sub(used)
     }
 
     fn is_fresh(&self, engine: &EngineReport) -> bool {
--- a/crates/ebonystand-core/src/placement/state.rs
+++ b/crates/ebonystand-core/src/placement/state.rs
@@ -116,7 +116,7 @@
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
         let is_starved = view.starved_model().is_some();
-        let back = |count: ReplicaCount| {
+        let restore_order = |count: ReplicaCount| {
             if is_starved && !count.is_below_floor() {
                 return None;
             }
@@ -130,7 +130,11 @@
                 replica: replica.clone(),
             })
         };
-        let orders: Vec<_> = view.lacking_models().into_iter().filter_map(back).collect();
+        let orders: Vec<_> = view
+            .lacking_models()
+            .into_iter()
+            .filter_map(restore_order)
+            .collect();
         for order in &orders {
             self.retired_replicas.remove(&order.replica);
         }
@@ -145,14 +149,14 @@
         engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
-        let mut makes_room = false;
+        let mut has_made_room = false;
         let mut orders: Vec<_> = view
             .model_counts()
             .filter_map(|count| view.find_retirement(&count))
             .collect();
         orders.retain(|order| {
-            let for_room = matches!(order.reason, PlacementReason::Room { .. });
-            !for_room || !std::mem::replace(&mut makes_room, true)
+            let is_for_room = matches!(order.reason, PlacementReason::Room { .. });
+            !is_for_room || !std::mem::replace(&mut has_made_room, true)
         });
         for order in &orders {
             self.retired_replicas.insert(order.replica.clone(), now);
@@ -181,11 +185,11 @@
             let time = requirements.map_or(Duration::ZERO, |requirements| {
                 settings.load_duration(requirements)
             });
-            let late = now >= *ordered + time * Self::LOAD_TIMEOUT_FACTOR + settings.stale;
-            if late && !has(replica) {
+            let is_late = now >= *ordered + time * Self::LOAD_TIMEOUT_FACTOR + settings.stale;
+            if is_late && !has(replica) {
                 failed_loads.insert(replica.clone(), now);
             }
-            !late && !has(replica)
+            !is_late && !has(replica)
         });
         failed_loads.retain(|_, at| now < *at + settings.settle);
         self.retired_replicas.retain(|replica, _| has(replica));
@@ -203,12 +207,12 @@
         engines: &BTreeMap<UpstreamId, EngineReport>,
     ) -> Vec<PlacementOrder> {
         let view = self.view(now, engines);
-        let carried: BTreeSet<_> = view
+        let carried_models: BTreeSet<_> = view
             .model_counts()
             .filter(|count| count.warm >= count.requirements.floor.max(1))
             .map(|count| count.model)
             .collect();
-        let drained = |replica: &ModelReplica, since: Duration| {
+        let is_drained = |replica: &ModelReplica, since: Duration| {
             view.reporting_engine(replica).is_some_and(|engine| {
                 engine.reported_at >= since + self.settings.stale
                     && engine.models.get(&replica.model) == Some(&0)
@@ -217,7 +221,7 @@
         self.retired_replicas
             .iter()
             .filter(|(replica, since)| {
-                carried.contains(&replica.model) && drained(replica, **since)
+                carried_models.contains(&replica.model) && is_drained(replica, **since)
             })
             .map(|(replica, _)| PlacementOrder {
                 action: PlacementAction::Unload,
--- a/crates/ebonystand-core/src/prefix_hints.rs
+++ b/crates/ebonystand-core/src/prefix_hints.rs
@@ -10,6 +10,7 @@
     entries: Box<[Option<Hint>]>,
 }
 
+/// Hint that an upstream has the prefix of `key` cached, unless its generation has changed since.
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     generation: u32,
--- a/crates/ebonystand-core/src/router.rs
+++ b/crates/ebonystand-core/src/router.rs
@@ -169,10 +169,10 @@
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.clear();
         self.score_sample(now, query, &mut candidates);
-        let mut chosen = self.choose(&candidates, limit_ms);
+        let mut chosen = self.choose_upstream(&candidates, limit_ms);
         if chosen.is_none_or(|candidate| candidate.cautious_ms > limit_ms) {
             self.score_scan(now, query, &mut candidates);
-            chosen = self.choose(&candidates, limit_ms);
+            chosen = self.choose_upstream(&candidates, limit_ms);
         }
         let route = match chosen {
             Some(candidate) if candidate.cautious_ms <= limit_ms => {
@@ -227,7 +227,11 @@
         }
     }
 
-    fn choose(&self, candidates: &[ScoredUpstream], limit_ms: f64) -> Option<ScoredUpstream> {
+    fn choose_upstream(
+        &self,
+        candidates: &[ScoredUpstream],
+        limit_ms: f64,
+    ) -> Option<ScoredUpstream> {
         let chosen = ScoredUpstream::choose(candidates, self.preset.send_away_gain_ms as f64)?;
         if chosen.cautious_ms <= limit_ms {
             return Some(chosen);
@@ -253,7 +257,7 @@
         let candidates = candidates
             .iter()
             .take(Route::MAX_LOGGED_CANDIDATES)
-            .map(|candidate| self.log_candidate(candidate))
+            .map(|candidate| self.to_route_candidate(candidate))
             .collect();
         let state = self.upstreams.get(chosen.index);
         if query.prefix_tokens > 0 {
@@ -273,7 +277,7 @@
         }
     }
 
-    fn log_candidate(&self, candidate: &ScoredUpstream) -> RouteCandidate {
+    fn to_route_candidate(&self, candidate: &ScoredUpstream) -> RouteCandidate {
         RouteCandidate {
             predicted: millis(candidate.predicted_ms),
             score: millis(candidate.score_ms()),
--- a/crates/ebonystand-core/src/suspect.rs
+++ b/crates/ebonystand-core/src/suspect.rs
@@ -6,6 +6,7 @@
 pub(crate) struct Suspect {
     /// Runs whose crash report was counted. A repeated report is ignored.
     counted_runs: BTreeSet<VmRun>,
+    /// Number of crashes that count towards the quarantine.
     crashes: u32,
     pub(crate) grant: Option<RunGrant>,
     /// Time before which no run is granted, since a run granted by a previous owner may be in
@@ -15,6 +16,7 @@
     /// run is granted until all VMs have acknowledged.
     pub(crate) ack_deadline: Duration,
     pub(crate) is_quarantined: bool,
+    /// Upstream and time of the last crash report.
     last_crash: Option<(UpstreamId, Duration)>,
     /// Runs whose crash report is confirmed to the reporter once all VMs have acknowledged.
     pub(crate) pending_reports: Vec<VmRun>,
@@ -26,12 +28,14 @@
     pub(crate) announced_at: Duration,
     /// VMs that have not acknowledged the suspect or quarantine announcement.
     pub(crate) unacked_vms: BTreeSet<VmId>,
+    /// Time at which the entry is removed.
     pub(crate) expires_at: Duration,
 }
 
 /// The owner's permission for the only run of a suspect that may be in progress.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct RunGrant {
+    /// Time at which a run without a report counts as a crash.
     pub(crate) expires: Duration,
     pub(crate) run: VmRun,
 }
--- a/crates/ebonystand-core/src/upstream_index.rs
+++ b/crates/ebonystand-core/src/upstream_index.rs
@@ -6,6 +6,7 @@
     by_id: FxHashMap<UpstreamId, u32>,
     free_indices: Vec<u32>,
     groups: FxHashMap<Target, Vec<UpstreamGroup>>,
+    /// Index of the own region; `u32::MAX` if the document does not list it.
     own_region: u32,
     regions: Vec<RegionId>,
     upstreams: Vec<UpstreamState>,
@@ -31,16 +32,16 @@
     pub(crate) fn configure(
         &mut self,
         now: Duration,
-        here: &Place,
+        own_place: &Place,
         document: &Document,
         warm: bool,
     ) {
         self.regions = document.regions.keys().cloned().collect();
-        let own = self.regions.binary_search(&here.region);
+        let own = self.regions.binary_search(&own_place.region);
         self.own_region = own.map_or(u32::MAX, |own| own as u32);
         self.remove_absent(document);
         for (id, upstream) in &document.upstreams {
-            self.upsert(now, here, id, upstream, warm);
+            self.upsert(now, own_place, id, upstream, warm);
         }
         self.rebuild_groups(document);
     }
@@ -107,6 +108,8 @@
             .any(|group| group.members.binary_search(&index).is_ok())
     }
 
+    /// Removes the upstreams that the document does not list. A later upstream reuses their index
+    /// with another generation, so that hints to the old one are void.
     fn remove_absent(&mut self, document: &Document) {
         let upstreams = &mut self.upstreams;
         let free_indices = &mut self.free_indices;
@@ -141,10 +144,11 @@
         self.groups = groups;
     }
 
+    /// Inserts or updates an upstream, and starts its slow start if it is new or returns.
     fn upsert(
         &mut self,
         now: Duration,
-        here: &Place,
+        own_place: &Place,
         id: &UpstreamId,
         upstream: &Upstream,
         warm: bool,
@@ -162,8 +166,8 @@
         state.leaving = upstream.leaving;
         state.region = region as u32;
         state.speed = upstream.speed;
-        state.is_in_own_region = upstream.region == here.region;
-        state.is_in_own_zone = state.is_in_own_region && upstream.zone == here.zone;
+        state.is_in_own_region = upstream.region == own_place.region;
+        state.is_in_own_zone = state.is_in_own_region && upstream.zone == own_place.zone;
         if returns && !warm {
             state.mark_cold(now);
         }
--- a/crates/ebonystand-core/src/upstream_state.rs
+++ b/crates/ebonystand-core/src/upstream_state.rs
@@ -26,6 +26,7 @@
     /// Share of its speed that a cold upstream starts with.
     const COLD_SPEED_SHARE: f64 = 0.2;
 
+    /// Whether the upstream may get a request that must not go to the `excluded` ones.
     pub(crate) fn allows_dispatch(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
         !self.leaving && self.circuit.allows_dispatch(now) && !excluded.contains(&self.id)
     }
--- a/crates/ebonystand-core/tests/fencing.rs
+++ b/crates/ebonystand-core/tests/fencing.rs
@@ -170,7 +170,8 @@
     rate: u32,
 }
 
-struct Contest {
+/// Two VMs that compete for a role, and an engine that ignores fencing tokens.
+struct Simulation {
     now: Duration,
     /// Results in flight, with their arrival time and the index of the receiving VM.
     outcomes: Vec<(Duration, usize, FenceOutcome)>,
@@ -181,7 +182,7 @@
     vms: [Vm; 2],
 }
 
-impl Contest {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let vm = |(rate, vm)| Vm {
             blind_until: Duration::ZERO,
@@ -207,7 +208,7 @@
 
     /// Runs one turn of a VM: it receives results, claims, renews and orders. It uses a permit one
     /// turn after it was issued, and may freeze in between.
-    fn turn(&mut self, i: usize) {
+    fn run_turn(&mut self, i: usize) {
         let (now, vm, rng) = (self.now, &mut self.vms[i], &mut self.rng);
         let clock = now * vm.rate / 1_000;
         for (_, _, outcome) in self
@@ -248,19 +249,19 @@
 fn an_engine_that_ignores_numbers_sees_one_orderer_at_a_time() {
     let mut successions = 0;
     for seed in 0..SEEDS {
-        let mut contest = Contest::new(seed);
-        while contest.now < Duration::from_secs(240) {
-            contest.now += STEP;
+        let mut simulation = Simulation::new(seed);
+        while simulation.now < Duration::from_secs(240) {
+            simulation.now += STEP;
             for i in 0..2 {
-                if contest.now >= contest.vms[i].frozen_until {
-                    contest.turn(i);
+                if simulation.now >= simulation.vms[i].frozen_until {
+                    simulation.run_turn(i);
                 }
             }
         }
-        contest.seen.sort_unstable();
-        let falls = contest.seen.windows(2).any(|pair| pair[0].1 > pair[1].1);
+        simulation.seen.sort_unstable();
+        let falls = simulation.seen.windows(2).any(|pair| pair[0].1 > pair[1].1);
         assert!(!falls, "seed {seed}");
-        successions += contest.seen.last().map_or(0, |(_, fence)| fence - 1);
+        successions += simulation.seen.last().map_or(0, |(_, fence)| fence - 1);
     }
     println!("{successions} successions in {SEEDS} seeds");
     assert!(successions > SEEDS);
--- a/crates/ebonystand-core/tests/herd.rs
+++ b/crates/ebonystand-core/tests/herd.rs
@@ -7,8 +7,8 @@
     std::time::Duration,
 };
 
-const PER_ROUND: usize = 20;
-const ROUNDS: u64 = 40;
+const ANSWERS_PER_SECOND: usize = 20;
+const SECONDS: u64 = 40;
 const SLOTS: usize = 16;
 const UPSTREAMS: usize = 10;
 const VMS: usize = 9;
@@ -18,34 +18,34 @@
 type Queues = Vec<VecDeque<usize>>;
 
 /// Average ratio of the longest to the mean queue in thousandths, over the second half of the
-/// seconds. Each second starts with a report of the queues and ends with `PER_ROUND` answers by
-/// each upstream. In between, every VM sends 18 requests, in total nine tenths of the upstreams'
-/// capacity.
+/// seconds. Each second starts with a report of the queues and ends with `ANSWERS_PER_SECOND`
+/// answers by each upstream. In between, every VM sends 18 requests, in total nine tenths of the
+/// upstreams' capacity.
 fn imbalance(
     mut send: impl FnMut(Duration, &mut Queues),
     mut answered: impl FnMut(Duration, usize, usize),
 ) -> usize {
     let mut queues = Queues::from(vec![VecDeque::new(); UPSTREAMS]);
     let mut sum = 0;
-    for second in 0..ROUNDS {
+    for second in 0..SECONDS {
         let now = Duration::from_secs(second);
         send(now, &mut queues);
         let highest = queues.iter().map(VecDeque::len).max().unwrap_or_default();
         let total = queues.iter().map(VecDeque::len).sum::<usize>();
-        if second >= ROUNDS / 2 {
+        if second >= SECONDS / 2 {
             sum += highest * UPSTREAMS * 1_000 / total;
         }
         for (upstream, queue) in queues.iter_mut().enumerate() {
-            let count = queue.len().min(PER_ROUND);
+            let count = queue.len().min(ANSWERS_PER_SECOND);
             queue
                 .drain(..count)
                 .for_each(|vm| answered(now + ms(999), vm, upstream));
         }
     }
-    sum / (ROUNDS / 2) as usize
+    sum / (SECONDS / 2) as usize
 }
 
-fn ours(now: Duration, routers: &mut [Router], queues: &mut Queues) {
+fn send_by_routers(now: Duration, routers: &mut [Router], queues: &mut Queues) {
     let (target, residency) = (model(), regions(&["armor"]));
     let query = query(&target, &residency);
     let id = |upstream: usize| format!("armor-{upstream}");
@@ -81,7 +81,7 @@
 fn vms_with_the_same_stale_reports_spread() {
     let mut document = document(&[UPSTREAMS, 0, 0]);
     for upstream in document.upstreams.values_mut() {
-        upstream.speed = PER_ROUND as u64 * WORK;
+        upstream.speed = ANSWERS_PER_SECOND as u64 * WORK;
     }
     let routers = (0..VMS).map(|seed| {
         let mut router = Router::new(place("armor"), seed as u64);
@@ -90,7 +90,7 @@
     });
     let routers = RefCell::new(routers.collect::<Vec<_>>());
     let ours = imbalance(
-        |now, queues| ours(now, &mut routers.borrow_mut(), queues),
+        |now, queues| send_by_routers(now, &mut routers.borrow_mut(), queues),
         |now, vm, upstream| {
             let first_token = ms(100);
             let end = DispatchEnd::Answered { first_token };
--- a/crates/ebonystand-core/tests/placement.rs
+++ b/crates/ebonystand-core/tests/placement.rs
@@ -11,16 +11,16 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
-const BYTES: u64 = 20;
-const RATE: u64 = 2;
+const MODEL_BYTES: u64 = 20;
+const STORE_RATE: u64 = 2;
 const SEEDS: u64 = 100;
 
 /// Simulated engines that follow each order, take the store's transfer time for a load and report
 /// every second.
 struct World {
-    coming: Vec<(Duration, ModelReplica)>,
+    loading: Vec<(Duration, ModelReplica)>,
     controller: PlacementController,
-    ending: Vec<(Duration, ModelReplica)>,
+    finishing: Vec<(Duration, ModelReplica)>,
     engines: BTreeMap<UpstreamId, EngineReport>,
     now: Duration,
     orders: Vec<(Duration, PlacementOrder)>,
@@ -30,7 +30,7 @@
     /// Creates engines with memory for `room` models each, and models with a floor of one replica.
     fn new(engines: &[(&str, &[&str])], models: &[&str], room: u64) -> Self {
         let needs = ModelRequirements {
-            bytes: BYTES,
+            bytes: MODEL_BYTES,
             floor: 1,
             tokens_per_replica: 100,
         };
@@ -44,21 +44,21 @@
             settle: SECOND * 60,
             smoothing: SECOND * 30,
             stale: SECOND * 5,
-            store_rate: RATE,
+            store_rate: STORE_RATE,
         };
         let engine = |models: &[&str]| EngineReport {
             leaving: false,
             models: models.iter().map(|model| ((*model).into(), 0)).collect(),
             reported_at: Duration::ZERO,
-            weight_capacity: room * BYTES,
+            weight_capacity: room * MODEL_BYTES,
         };
         let engines = engines
             .iter()
             .map(|(id, models)| ((*id).into(), engine(models)));
         Self {
-            coming: Vec::new(),
+            loading: Vec::new(),
             controller: PlacementController::new(Duration::ZERO, settings),
-            ending: Vec::new(),
+            finishing: Vec::new(),
             engines: engines.collect(),
             now: Duration::ZERO,
             orders: Vec::new(),
@@ -86,12 +86,12 @@
     fn run(&mut self, seconds: u32, demand: &[(&str, f64)]) {
         for _ in 0..seconds {
             self.now += SECOND;
-            for (_, replica) in self.coming.extract_if(.., |(at, _)| *at <= self.now) {
+            for (_, replica) in self.loading.extract_if(.., |(at, _)| *at <= self.now) {
                 if let Some(engine) = self.engines.get_mut(&replica.engine) {
                     engine.models.insert(replica.model, 0);
                 }
             }
-            for (_, replica) in self.ending.extract_if(.., |(at, _)| *at <= self.now) {
+            for (_, replica) in self.finishing.extract_if(.., |(at, _)| *at <= self.now) {
                 let engine = self.engines.get_mut(&replica.engine);
                 if let Some(running) = engine.and_then(|e| e.models.get_mut(&replica.model)) {
                     *running = running.saturating_sub(1);
@@ -105,18 +105,18 @@
                     .record_demand(self.now, &(*model).into(), *rate);
             }
             for order in self.controller.plan(self.now, &self.engines) {
-                self.obey(order);
+                self.follow_order(order);
             }
         }
     }
 
     /// Follows an order and checks the invariants that hold for its kind.
-    fn obey(&mut self, order: PlacementOrder) {
+    fn follow_order(&mut self, order: PlacementOrder) {
         let ModelReplica { engine, model } = order.replica.clone();
         match order.action {
             PlacementAction::Load => {
-                let ready = self.now + Duration::from_secs(BYTES / RATE);
-                self.coming.push((ready, order.replica.clone()));
+                let ready = self.now + Duration::from_secs(MODEL_BYTES / STORE_RATE);
+                self.loading.push((ready, order.replica.clone()));
             }
             PlacementAction::Restore => {}
             PlacementAction::Retire => {
@@ -128,7 +128,7 @@
                 // One more request is in flight from a VM that does not know of the retirement yet.
                 let running = self.engine(&engine).models.get_mut(&model);
                 *running.expect("a loaded model") += 1;
-                self.ending
+                self.finishing
                     .push((self.now + SECOND * 4, order.replica.clone()));
             }
             PlacementAction::Unload => {
@@ -157,7 +157,10 @@
         for (i, (from, _)) in loads.iter().enumerate() {
             for (n, (to, order)) in loads[i..].iter().enumerate() {
                 let window = (*to - *from).as_secs();
-                assert!(n as u64 * BYTES <= window * RATE, "{order} at {to:?}");
+                assert!(
+                    n as u64 * MODEL_BYTES <= window * STORE_RATE,
+                    "{order} at {to:?}"
+                );
             }
         }
     }
@@ -189,7 +192,7 @@
     world.run(9, &[]);
     assert_eq!(world.orders.len(), 0);
     world.run(1, &[]);
-    world.coming.clear();
+    world.loading.clear();
     world.run(60, &[]);
     let engines: Vec<_> = world
         .orders
--- a/crates/ebonystand-core/tests/quarantine.rs
+++ b/crates/ebonystand-core/tests/quarantine.rs
@@ -14,7 +14,7 @@
 };
 
 const FINGERPRINT: Fingerprint = 5;
-const LIMIT: Duration = Duration::from_secs(60);
+const RUN_LIMIT: Duration = Duration::from_secs(60);
 const VMS: [&str; 3] = ["vm-0", "vm-1", "vm-2"];
 
 /// Safeguard that the simulated gateway leaves out, to show that the search finds the resulting
@@ -37,6 +37,7 @@
     Running(usize, RunId),
 }
 
+/// State of the search: the VMs, the messages in flight and what the caller may still do.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct World {
     crashes: u32,
@@ -78,18 +79,18 @@
     }
 
     /// All successor states. At most two requests are open at a time.
-    fn next(&self) -> Vec<Self> {
+    fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         if self.sends > 0 && self.requests.len() < 2 {
-            next.extend((0..self.vms.len()).map(|vm| self.sent(vm)));
+            next.extend((0..self.vms.len()).map(|vm| self.after_send(vm)));
         }
         for at in 0..self.requests.len() {
             if let Request::Running(vm, run) = self.requests[at] {
-                next.push(self.crashed(at, vm, run));
+                next.push(self.after_crash(at, vm, run));
             }
         }
         for at in 0..self.network.len() {
-            next.push(self.delivered(at));
+            next.push(self.after_delivery(at));
             if self.losses > 0 {
                 let mut world = self.clone();
                 world.losses -= 1;
@@ -99,7 +100,7 @@
             }
         }
         if self.has_lost && self.now.is_zero() {
-            next.push(self.ticked());
+            next.push(self.after_tick());
         }
         next
     }
@@ -108,7 +109,7 @@
         match self.vms[vm].start_run(self.now, run, FINGERPRINT) {
             QuarantineDecision::PermitRequired if self.without != Without::Ask => {
                 self.requests.push(Request::Asking(vm, run));
-                let output = self.vms[vm].request_permit(self.now, run, FINGERPRINT, LIMIT);
+                let output = self.vms[vm].request_permit(self.now, run, FINGERPRINT, RUN_LIMIT);
                 self.apply(vm, output);
             }
             QuarantineDecision::PermitRequired | QuarantineDecision::Started => {
@@ -118,7 +119,7 @@
         }
     }
 
-    fn sent(&self, vm: usize) -> Self {
+    fn after_send(&self, vm: usize) -> Self {
         let mut world = self.clone();
         world.sends -= 1;
         let run = world.vms[vm].allocate_run();
@@ -127,7 +128,7 @@
     }
 
     /// Crashes a run's upstream. Each run has an upstream of its own, which is the worst case.
-    fn crashed(&self, at: usize, vm: usize, run: RunId) -> Self {
+    fn after_crash(&self, at: usize, vm: usize, run: RunId) -> Self {
         let mut world = self.clone();
         world.crashes += 1;
         world.requests.remove(at);
@@ -141,7 +142,7 @@
         world.sorted()
     }
 
-    fn delivered(&self, at: usize) -> Self {
+    fn after_delivery(&self, at: usize) -> Self {
         let mut world = self.clone();
         let (from, send) = world.network.remove(at);
         let to = VMS
@@ -154,11 +155,11 @@
     }
 
     /// Advances the clock so far that all VMs resend what is unconfirmed.
-    fn ticked(&self) -> Self {
-        self.ticked_at(Duration::from_millis(200))
+    fn after_tick(&self) -> Self {
+        self.after_tick_at(Duration::from_millis(200))
     }
 
-    fn ticked_at(&self, now: Duration) -> Self {
+    fn after_tick_at(&self, now: Duration) -> Self {
         let mut world = self.clone();
         world.now = now;
         for vm in 0..self.vms.len() {
@@ -185,22 +186,22 @@
     }
 
     /// Delivers all messages in flight.
-    fn settled(mut self) -> Self {
+    fn after_all_deliveries(mut self) -> Self {
         while !self.network.is_empty() {
-            self = self.delivered(0);
+            self = self.after_delivery(0);
         }
         self
     }
 
-    fn sent_and_settled(&self, vm: usize) -> Self {
-        self.sent(vm).settled()
+    fn after_send_and_deliveries(&self, vm: usize) -> Self {
+        self.after_send(vm).after_all_deliveries()
     }
 
-    fn crashed_and_settled(&self) -> Self {
+    fn after_crash_and_deliveries(&self) -> Self {
         let Some(Request::Running(vm, run)) = self.requests.first().cloned() else {
             return self.clone();
         };
-        self.crashed(0, vm, run).settled()
+        self.after_crash(0, vm, run).after_all_deliveries()
     }
 
     fn sorted(mut self) -> Self {
@@ -221,7 +222,7 @@
         start,
         |world| {
             seen.set(seen.get() + 1);
-            world.next()
+            world.successors()
         },
         |world| world.crashes > 2,
     );
@@ -263,11 +264,13 @@
 /// upstream.
 #[test]
 fn a_run_whose_vm_vanished_counts_as_a_crash() {
-    let first = World::new(3, 3, 0, Without::Nothing).sent_and_settled(0);
-    let mut world = first.crashed_and_settled().sent_and_settled(1);
+    let first = World::new(3, 3, 0, Without::Nothing).after_send_and_deliveries(0);
+    let mut world = first
+        .after_crash_and_deliveries()
+        .after_send_and_deliveries(1);
     assert!(matches!(world.requests[..], [Request::Running(1, _)]));
-    world.now = Quarantine::START_TIMEOUT + LIMIT;
-    let world = world.ticked_at(world.now).settled();
+    world.now = Quarantine::START_TIMEOUT + RUN_LIMIT;
+    let world = world.after_tick_at(world.now).after_all_deliveries();
     let refusal = world.vms[2].refusal(world.now, FINGERPRINT);
     assert_eq!(
         refusal.map(|refusal| refusal.code),
@@ -280,11 +283,13 @@
 #[rstest]
 fn a_new_owner_waits_for_the_old_ones_grant(#[values(0, 1, 2)] gone: usize) {
     let (holder, asker) = ((gone + 1) % 3, (gone + 2) % 3);
-    let first = World::new(3, 4, 0, Without::Nothing).sent_and_settled(gone);
-    let mut world = first.crashed_and_settled().sent_and_settled(holder);
+    let first = World::new(3, 4, 0, Without::Nothing).after_send_and_deliveries(gone);
+    let mut world = first
+        .after_crash_and_deliveries()
+        .after_send_and_deliveries(holder);
     let live = BTreeSet::from([VMS[holder].into(), VMS[asker].into()]);
     world.vms[holder].set_live_vms(world.now, live.clone());
     world.vms[asker].set_live_vms(world.now, live);
-    let world = world.sent_and_settled(asker);
+    let world = world.after_send_and_deliveries(asker);
     assert!(matches!(world.requests[..], [Request::Running(vm, _)] if vm == holder));
 }
