--- a/crates/ebonystand-core/src/fenced_role_phase.rs
+++ b/crates/ebonystand-core/src/fenced_role_phase.rs
@@ -10,7 +10,7 @@
     },
     /// The VM holds the role.
     Holding {
-        /// Fencing token of this VM.
+        /// Fencing token under which the VM holds the role.
         fence: Fence,
         /// Time at which the lease expires.
         lease_end: Duration,
--- a/crates/ebonystand-core/src/model_replica.rs
+++ b/crates/ebonystand-core/src/model_replica.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{model} on {engine}")]
 pub struct ModelReplica {
-    /// Engine that has or should load the model.
+    /// Engine that holds the replica, or is to load it.
     pub engine: UpstreamId,
-    /// Model that is replicated.
+    /// Model whose weights the replica consists of.
     pub model: ModelId,
 }
 
--- a/crates/ebonystand-core/src/observed_load.rs
+++ b/crates/ebonystand-core/src/observed_load.rs
@@ -7,7 +7,7 @@
     reported_at: Option<Duration>,
     /// Moving average of the time to first token.
     first_token: Duration,
-    /// Time of the last answer in the average.
+    /// Time at which an answer was last added to `first_token`.
     first_token_at: Duration,
     in_flight: u32,
     report: LoadReport,
--- a/crates/ebonystand-core/src/pending_run_report.rs
+++ b/crates/ebonystand-core/src/pending_run_report.rs
@@ -6,7 +6,7 @@
     pub(crate) fingerprint: Fingerprint,
     pub(crate) message: QuarantineMessage,
     pub(crate) sent_at: Duration,
-    /// Time at which resending stops.
+    /// Time at which the report is dropped even if it is unconfirmed.
     pub(crate) resend_until: Duration,
 }
 
--- a/crates/ebonystand-core/src/placement/placement_order.rs
+++ b/crates/ebonystand-core/src/placement/placement_order.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[display("{action} {replica}: {reason}")]
 pub struct PlacementOrder {
-    /// Change to the replica.
+    /// What the engine or the router has to do with the replica.
     pub action: PlacementAction,
     /// Reason for the change, as logged.
     pub reason: PlacementReason,
--- a/crates/ebonystand-core/src/placement/placement_reason.rs
+++ b/crates/ebonystand-core/src/placement/placement_reason.rs
@@ -17,7 +17,7 @@
     /// The model has fewer replicas than its floor.
     #[display("{replicas} replicas for a floor of {floor}")]
     Floor {
-        /// Smallest number of replicas by the settings.
+        /// Smallest number of replicas, see [`ModelRequirements::floor`].
         floor: usize,
         /// Number of replicas before the order.
         replicas: usize,
@@ -31,7 +31,7 @@
     /// The replica's memory is needed for a model below its floor.
     #[display("room for {model}")]
     Room {
-        /// Model that needs the memory.
+        /// Model below its floor that the memory is freed for.
         model: ModelId,
     },
     /// The smoothed demand needs one replica less.
--- a/crates/ebonystand-core/src/replica_count.rs
+++ b/crates/ebonystand-core/src/replica_count.rs
@@ -7,7 +7,7 @@
     pub(crate) loading: usize,
     /// Smoothed demand in tokens per second.
     pub(crate) demand: f64,
-    /// Model that is counted.
+    /// Id of the model whose replicas are counted.
     pub(crate) model: &'a ModelId,
     /// The model's requirements by the settings.
     pub(crate) requirements: &'a ModelRequirements,
--- a/crates/ebonystand-core/src/router.rs
+++ b/crates/ebonystand-core/src/router.rs
@@ -194,9 +194,9 @@
     }
 
     /// Number of concurrent dispatches that this VM should allow for a target: its share of the
-    /// slots of the own region's upstreams, or of all regions' if the own region has none, times
-    /// [`Self::SLOTS_HEADROOM_FACTOR`]. It is the input of [`FairQueue::set_slots`] about once a
-    /// second, and visits each of these upstreams.
+    /// slots of the own region's upstreams, or of all regions' if the own region has none, and a
+    /// quarter more. It is the input of [`FairQueue::set_slots`], about once a second: it visits
+    /// each of these upstreams.
     #[must_use]
     pub fn dispatch_slots(&self, now: Duration, target: &Target) -> u32 {
         let groups = self.upstreams.groups(target).unwrap_or_default();
@@ -304,10 +304,10 @@
         let (index, generation) = self.prefix_hints.get(Self::prefix_key(query))?;
         let state = self.upstreams.get(index);
         let region = self.upstreams.region(state.region);
-        let counts = state.generation == generation
+        let is_valid = state.generation == generation
             && query.residency.contains(region)
             && self.upstreams.is_serving(index, query.target);
-        counts.then_some(index)
+        is_valid.then_some(index)
     }
 
     /// Longest acceptable predicted time to first token in milliseconds. Above it a request is
--- a/crates/ebonystand-core/src/scored_upstream.rs
+++ b/crates/ebonystand-core/src/scored_upstream.rs
@@ -8,7 +8,7 @@
     pub(crate) cautious_ms: f64,
     /// Cost of the upstream in milliseconds, weighted by the preset.
     pub(crate) cost_ms: f64,
-    /// Index in the [`UpstreamIndex`].
+    /// Index of the upstream in the [`UpstreamIndex`].
     pub(crate) index: u32,
     /// Whether the upstream is in the VM's own region.
     pub(crate) is_local: bool,
--- a/crates/ebonystand-core/src/upstream_state.rs
+++ b/crates/ebonystand-core/src/upstream_state.rs
@@ -26,7 +26,8 @@
     /// Share of its speed that a cold upstream starts with.
     const COLD_SPEED_SHARE: f64 = 0.2;
 
-    /// Whether the upstream may get a request that must not go to the `excluded` ones.
+    /// Whether the upstream may get a request: it is neither leaving nor `excluded`, and its circuit
+    /// breaker allows a dispatch.
     pub(crate) fn allows_dispatch(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
         !self.leaving && self.circuit.allows_dispatch(now) && !excluded.contains(&self.id)
     }
