--- a/crates/ebonystand-core/src/document/document_section.rs
+++ b/crates/ebonystand-core/src/document/document_section.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// A map of a [`Document`], in the order in which it is copied.
+/// Map of a [`Document`], ordered as the maps are copied.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum DocumentSection {
-    /// Keys.
+    /// Entries of [`Document::keys`].
     #[default]
     Keys,
-    /// Regions.
+    /// Entries of [`Document::regions`].
     Regions,
-    /// Services.
+    /// Entries of [`Document::services`].
     Services,
-    /// Upstreams.
+    /// Entries of [`Document::upstreams`].
     Upstreams,
-    /// Workspaces.
+    /// Entries of [`Document::workspaces`].
     Workspaces,
 }
 
 impl DocumentSection {
-    /// The section copied next.
+    /// Returns the section that is copied after this one, if any.
     #[must_use]
     pub fn next(self) -> Option<Self> {
         match self {
--- a/crates/ebonystand-core/src/fair_queue.rs
+++ b/crates/ebonystand-core/src/fair_queue.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Requests that wait on this VM for an upstream slot, served by start-time fair queueing over
-/// workspaces, in tokens.
+/// Queue of the requests that wait on this VM for an upstream slot. Start-time fair queueing shares
+/// the slots between workspaces, by tokens of work.
 ///
-/// In a plain queue a workspace at ten times its rate owns most of the places, and each other
-/// request waits behind them. Here a workspace's next request starts no sooner than its previous
-/// ones would have ended at an equal share, so a burst waits behind itself.
+/// In a plain queue, a workspace at ten times its rate holds most places and all other requests
+/// wait behind it. Here the next request of a workspace starts no earlier than its previous ones
+/// would have ended at an equal share, so a burst waits behind itself.
 ///
-/// A slot is not given back before its request ends. A workspace with a long backlog therefore
-/// leaves some slots free: otherwise it would hold every one that the others do not use, and each
-/// other request would wait until one of the burst's ends.
+/// A running request cannot be preempted. A workspace with a long backlog therefore leaves some
+/// slots free. Otherwise it would occupy every slot that the others do not use, and each of their
+/// requests would wait for one of the burst's requests to end.
 #[derive(Clone, Debug)]
 pub struct FairQueue {
     backlogs: BTreeMap<WorkspaceId, Backlog>,
@@ -21,13 +21,14 @@
 }
 
 impl FairQueue {
-    /// Tokens of lead over the others that lower the engine priority by one.
-    pub const QUANTUM: Tokens = 2_000;
+    /// Tokens by which a workspace is ahead of the others per step of engine priority.
+    pub const PRIORITY_QUANTUM: Tokens = 2_000;
 
-    /// Slots in thousandths that a burst leaves free.
+    /// Share of the slots, in thousandths, that a workspace with a burst leaves free.
     const RESERVE_PERMILLE: u32 = 320;
 
-    /// Queue before `slots` concurrent dispatches that holds `capacity` tokens of work.
+    /// Creates a queue for `slots` concurrent dispatches that holds up to `capacity` tokens of
+    /// work.
     #[must_use]
     pub fn new(slots: u32, capacity: Tokens) -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Drops a waiting request whose caller left.
+    /// Removes a queued request whose caller has left.
     pub fn cancel(&mut self, workspace: &str, id: u64) -> Option<QueueEntry> {
         let backlog = self.backlogs.get_mut(workspace)?;
         let at = backlog
@@ -53,8 +54,8 @@
         Some(entry)
     }
 
-    /// Takes out the requests whose deadline has passed.
-    pub fn expire(&mut self, now: Duration) -> Vec<QueueEntry> {
+    /// Removes and returns the requests whose deadline has passed.
+    pub fn remove_expired(&mut self, now: Duration) -> Vec<QueueEntry> {
         let mut expired = Vec::new();
         for backlog in self.backlogs.values_mut() {
             backlog.entries.retain(|waiting| {
@@ -70,57 +71,59 @@
         expired
     }
 
-    /// A dispatch of the workspace has ended.
-    pub fn finished(&mut self, workspace: &str) {
+    /// Records that a dispatch of the workspace has ended and frees its slot.
+    pub fn record_dispatch_end(&mut self, workspace: &str) {
         self.running = self.running.saturating_sub(1);
         if let Some(backlog) = self.backlogs.get_mut(workspace) {
             backlog.running = backlog.running.saturating_sub(1);
         }
     }
 
-    /// Takes the next request to dispatch, if a slot is free for it. To be called until it gives
-    /// none after each [`Self::push`] that queues, [`Self::finished`] and [`Self::set_slots`].
+    /// Removes and returns the next request to dispatch, if a slot is free for it. Call it until it
+    /// returns none, after each [`Self::push`] that queues, [`Self::record_dispatch_end`] and
+    /// [`Self::set_slots`].
     pub fn pop(&mut self) -> Option<QueueEntry> {
         if self.running >= self.slots {
             return None;
         }
-        let is_reserve = self.is_reserve();
+        let is_only_reserve_left = self.is_only_reserve_left();
         let half_share = self.half_share();
         let backlog = self
             .backlogs
             .values_mut()
             .filter(|backlog| !backlog.entries.is_empty())
-            .filter(|backlog| backlog.may_start(is_reserve, half_share))
+            .filter(|backlog| backlog.can_start(is_only_reserve_left, half_share))
             .min_by_key(|backlog| backlog.entries.front().map(|waiting| waiting.start))?;
-        let Waiting { entry, start } = backlog.entries.pop_front()?;
+        let WaitingEntry { entry, start } = backlog.entries.pop_front()?;
         backlog.queued -= entry.work;
         self.queued -= entry.work;
         backlog.running += 1;
         self.running += 1;
         self.virtual_time = self.virtual_time.max(start);
-        self.forget_idle();
+        self.remove_idle_backlogs();
         Some(entry)
     }
 
-    /// Engine priority of the workspace's next request.
+    /// Priority at the engine for the workspace's next request. It falls the further the workspace
+    /// is ahead of the others.
     #[must_use]
     pub fn priority(&self, workspace: &str) -> Priority {
         let finish = self
             .backlogs
             .get(workspace)
             .map_or(0, |backlog| backlog.finish);
-        Priority::of_lead(finish.saturating_sub(self.virtual_time) / Self::QUANTUM)
+        Priority::from_lead(finish.saturating_sub(self.virtual_time) / Self::PRIORITY_QUANTUM)
     }
 
-    /// Adds a request. When the queue is full, the workspace with the longest backlog loses its
-    /// last entry, so that one workspace's burst never costs another its place.
+    /// Adds a request. In a full queue, the last entry of the workspace with the longest backlog is
+    /// shed, so that one workspace's burst never costs another its place.
     pub fn push(&mut self, entry: QueueEntry) -> QueueOutcome {
         let work = entry.work;
         if self.running < self.slots && self.queued == 0 {
-            let start = self.tag(&entry.workspace, work);
+            let start = self.assign_start_tag(&entry.workspace, work);
             self.virtual_time = self.virtual_time.max(start);
-            self.run(&entry.workspace);
-            return QueueOutcome::Runs;
+            self.start_dispatch(&entry.workspace);
+            return QueueOutcome::Started;
         }
         if self.queued + work <= self.capacity {
             self.enqueue(entry);
@@ -128,18 +131,18 @@
         }
         let own = self.backlogs.get(&entry.workspace);
         let own = own.map_or(0, |backlog| backlog.queued) + work;
-        let Some(shed) = self.shed_beyond(own) else {
+        let Some(shed) = self.shed_longest_backlog(own) else {
             return QueueOutcome::Shed {
                 refusal: Self::refusal(),
             };
         };
         self.enqueue(entry);
-        QueueOutcome::QueuedFor { shed }
+        QueueOutcome::QueuedAfterShedding { shed }
     }
 
-    /// Tokens of work that wait.
+    /// Total work of the queued requests in tokens.
     #[must_use]
-    pub fn queued(&self) -> Tokens {
+    pub fn queued_work(&self) -> Tokens {
         self.queued
     }
 
@@ -150,63 +153,67 @@
             .with_retry_after(Duration::from_secs(1))
     }
 
-    /// Sets the number of concurrent dispatches.
+    /// Sets the number of concurrent dispatches, at least 1.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
     }
 
     fn enqueue(&mut self, entry: QueueEntry) {
-        let start = self.tag(&entry.workspace, entry.work);
+        let start = self.assign_start_tag(&entry.workspace, entry.work);
         self.queued += entry.work;
         let backlog = self.backlogs.entry(entry.workspace.clone()).or_default();
         backlog.queued += entry.work;
-        backlog.entries.push_back(Waiting { entry, start });
+        backlog.entries.push_back(WaitingEntry { entry, start });
     }
 
-    /// Drops workspaces that have nothing queued or running and owe nothing.
-    fn forget_idle(&mut self) {
+    /// Removes workspaces that have no queued or running requests and are not ahead of the virtual
+    /// time.
+    fn remove_idle_backlogs(&mut self) {
         let virtual_time = self.virtual_time;
         self.backlogs.retain(|_, backlog| {
             !backlog.entries.is_empty() || backlog.running > 0 || backlog.finish > virtual_time
         });
     }
 
-    /// Whether only the reserve is left.
-    fn is_reserve(&self) -> bool {
+    /// Whether no slots beyond the reserve are free.
+    fn is_only_reserve_left(&self) -> bool {
         let reserve = self.slots * Self::RESERVE_PERMILLE / 1_000;
         self.slots.saturating_sub(self.running) <= reserve
     }
 
-    /// Half of the slots that each workspace would hold if all held as many, and at least one.
+    /// Half of an equal share of the slots between the workspaces in the queue, and at least one
+    /// slot.
     fn half_share(&self) -> u32 {
         let active = self.backlogs.len().max(1) as u32;
         (self.slots / active / 2).max(1)
     }
 
-    fn run(&mut self, workspace: &str) {
+    fn start_dispatch(&mut self, workspace: &str) {
         self.running += 1;
         if let Some(backlog) = self.backlogs.get_mut(workspace) {
             backlog.running += 1;
         }
-        self.forget_idle();
+        self.remove_idle_backlogs();
     }
 
-    /// Takes the last entry of the longest backlog, if that is longer than `own`.
-    fn shed_beyond(&mut self, own: Tokens) -> Option<QueueEntry> {
+    /// Removes and returns the last entry of the longest backlog, if that backlog exceeds `own`
+    /// tokens.
+    fn shed_longest_backlog(&mut self, own: Tokens) -> Option<QueueEntry> {
         let longest = self
             .backlogs
             .values_mut()
             .max_by_key(|backlog| backlog.queued)
             .filter(|backlog| backlog.queued > own)?;
-        let Waiting { entry, start } = longest.entries.pop_back()?;
+        let WaitingEntry { entry, start } = longest.entries.pop_back()?;
         longest.finish = start;
         longest.queued -= entry.work;
         self.queued -= entry.work;
         Some(entry)
     }
 
-    /// Start tag of the workspace's next request.
-    fn tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
+    /// Assigns the virtual start time of the workspace's next request, and advances the workspace's
+    /// finish time by `work`.
+    fn assign_start_tag(&mut self, workspace: &str, work: Tokens) -> Tokens {
         if !self.backlogs.contains_key(workspace) {
             self.backlogs.insert(workspace.into(), Backlog::default());
         }
--- a/crates/ebonystand-core/src/gateway/split_part.rs
+++ b/crates/ebonystand-core/src/gateway/split_part.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A service that takes a part of a route's requests.
+/// Service of a route with its share of the route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SplitPart {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its part of the sum of all weights of the route.
+    /// Share of the requests, relative to the sum of all weights of the route.
     pub weight: u64,
 }
--- a/crates/ebonystand-core/src/lib.rs
+++ b/crates/ebonystand-core/src/lib.rs
@@ -6,42 +6,41 @@
 //! inputs; it returns typed outputs. The daemon turns sockets, timers and files into inputs.
 
 use {
-    backlog::{Backlog, Waiting},
+    backlog::{Backlog, WaitingEntry},
     borrowed_lease::BorrowedLease,
     borrower::Borrower,
     bytes::Bytes,
     change_log::ChangeLog,
-    circuit::Circuit,
+    circuit_breaker::CircuitBreaker,
+    deferred_message::DeferredMessage,
     demand_meter::DemandMeter,
     derive_more::{Display, From},
     encoded_weight::*,
     event_scanner::EventScanner,
     feed_peers::FeedPeers,
-    fleet::Fleet,
-    fleet_share::FleetShare,
+    fenced_role_phase::FencedRolePhase,
+    fleet_load_factor::FleetLoadFactor,
     handover::Handover,
-    held_message::HeldMessage,
     lent_lease::LentLease,
     link_budgets::LinkBudgets,
-    model_count::ModelCount,
     newer_peers::NewerPeers,
     observed_load::ObservedLoad,
     open_ask::OpenAsk,
-    orderer_phase::OrdererPhase,
-    parts_answered::PartsAnswered,
-    pick::Pick,
+    pending_run_report::PendingRunReport,
+    permit_request::PermitRequest,
     prefix_hints::PrefixHints,
     prober::Prober,
     readiness::Readiness,
     recall::Recall,
     region_contact::millis,
     region_contacts::RegionContacts,
-    rendezvous::Rendezvous,
+    rendezvous_hash::RendezvousHash,
+    replica_count::ReplicaCount,
     route_refusal::RouteRefusal,
-    run_ask::RunAsk,
-    run_report::RunReport,
     rustc_hash::{FxHashMap, FxHashSet},
+    scored_upstream::ScoredUpstream,
     seed_addresses::SeedAddresses,
+    sent_parts::SentParts,
     serde::{Deserialize, Serialize},
     slack_entry::SlackEntry,
     slack_history::SlackHistory,
@@ -54,11 +53,12 @@
         net::SocketAddr,
         time::Duration,
     },
-    suspect::{CrashOf, Grant, RunOf, Suspect},
-    suspect_ledger::SuspectLedger,
-    token_bucket::{TokenBucket, scale, time_for},
+    suspect::{CrashReport, RunGrant, Suspect, VmRun},
+    suspect_table::SuspectTable,
+    token_bucket::{TokenBucket, accrual_time, mul_div},
     unsynced_batch::UnsyncedBatch,
     upstream_group::UpstreamGroup,
+    upstream_index::UpstreamIndex,
     upstream_state::UpstreamState,
     vm_table::VmTable,
     withdrawal_proposals::WithdrawalProposals,
@@ -75,20 +75,19 @@
     cache_change::CacheChange,
     cache_event::CacheEvent,
     call::Call,
-    candidate::Candidate,
     catalog::Catalog,
     change::Change,
     change_outcome::ChangeOutcome,
     change_request::ChangeRequest,
     command::Command,
     command_outcome::CommandOutcome,
-    connection_fate::ConnectionFate,
+    connection_action::ConnectionAction,
     deadline::Deadline,
     dispatch_end::DispatchEnd,
     document::*,
     drain_status::DrainStatus,
     durable_state::DurableState,
-    engine_view::EngineView,
+    engine_report::EngineReport,
     entry_list::EntryList,
     entry_vm::EntryVm,
     fair_queue::FairQueue,
@@ -97,13 +96,17 @@
     feed_message::FeedMessage,
     feed_output::FeedOutput,
     fence::*,
+    fenced_role::FencedRole,
+    fenced_role_error::FencedRoleError,
+    fenced_role_timings::FencedRoleTimings,
     gateway::*,
     group_member_status::GroupMemberStatus,
     group_status::GroupStatus,
     hard_state::HardState,
     ids::*,
+    in_flight_order::InFlightOrder,
+    issued_key::IssuedKey,
     key::Key,
-    key_given::KeyGiven,
     key_hash::KeyHash,
     lease_hold::LeaseHold,
     lease_id::LeaseId,
@@ -111,7 +114,7 @@
     lease_terms::LeaseTerms,
     link::Link,
     link_budget::LinkBudget,
-    liveness::Liveness,
+    liveness_snapshot::LivenessSnapshot,
     load_exchange::*,
     load_report::LoadReport,
     log_budget::{LogBudget, LogKind},
@@ -123,16 +126,13 @@
     member_change::MemberChange,
     member_id::MemberId,
     membership::*,
-    model_needs::ModelNeeds,
     model_replica::ModelReplica,
+    model_requirements::ModelRequirements,
     operator_error::OperatorError,
     operator_path::*,
     operator_status::OperatorStatus,
     order::*,
-    orderer::Orderer,
-    orderer_fault::OrdererFault,
-    orderer_times::OrdererTimes,
-    permit::Permit,
+    order_permit::OrderPermit,
     place::Place,
     placement::*,
     prefix_cache::*,
@@ -140,8 +140,8 @@
     preset_name::PresetName,
     presets::Presets,
     priority::Priority,
-    proposal_fault::ProposalFault,
-    pull_end::PullEnd,
+    proposal_error::ProposalError,
+    pull_outcome::PullOutcome,
     quarantine::*,
     queue_entry::QueueEntry,
     queue_outcome::QueueOutcome,
@@ -155,13 +155,13 @@
     retry_budget::RetryBudget,
     retryable::Retryable,
     route::Route,
+    route_candidate::RouteCandidate,
     route_query::RouteQuery,
     route_reason::RouteReason,
     router::Router,
     run_end::RunEnd,
     run_permit::RunPermit,
     run_state::RunState,
-    sending::Sending,
     service::Service,
     smoothed_rate::SmoothedRate,
     state_machine::StateMachine,
@@ -172,16 +172,16 @@
     target::Target,
     ticket_id::TicketId,
     traffic_class::TrafficClass,
-    unsent::Unsent,
+    unsent_order::UnsentOrder,
     upstream::Upstream,
     upstream_kind::UpstreamKind,
     upstream_status::UpstreamStatus,
     vm_entry::VmEntry,
     vm_health::VmHealth,
     vm_hint::VmHint,
-    vm_mark::VmMark,
     vm_membership::VmMembership,
     vm_record::VmRecord,
+    vm_record_id::VmRecordId,
     vm_state::VmState,
     vm_status::VmStatus,
     withdrawal::Withdrawal,
@@ -203,24 +203,24 @@
 mod cache_change;
 mod cache_event;
 mod call;
-mod candidate;
 mod catalog;
 mod change;
 mod change_log;
 mod change_outcome;
 mod change_request;
-mod circuit;
+mod circuit_breaker;
 mod command;
 mod command_outcome;
-mod connection_fate;
+mod connection_action;
 mod deadline;
+mod deferred_message;
 mod demand_meter;
 mod dispatch_end;
 mod document;
 mod drain_status;
 mod durable_state;
 mod encoded_weight;
-mod engine_view;
+mod engine_report;
 mod entry_list;
 mod entry_vm;
 mod event_scanner;
@@ -231,17 +231,20 @@
 mod feed_output;
 mod feed_peers;
 mod fence;
-mod fleet;
-mod fleet_share;
+mod fenced_role;
+mod fenced_role_error;
+mod fenced_role_phase;
+mod fenced_role_timings;
+mod fleet_load_factor;
 mod gateway;
 mod group_member_status;
 mod group_status;
 mod handover;
 mod hard_state;
-mod held_message;
 mod ids;
+mod in_flight_order;
+mod issued_key;
 mod key;
-mod key_given;
 mod key_hash;
 mod lease_hold;
 mod lease_id;
@@ -251,7 +254,7 @@
 mod link;
 mod link_budget;
 mod link_budgets;
-mod liveness;
+mod liveness_snapshot;
 mod load_exchange;
 mod load_report;
 mod log_budget;
@@ -263,9 +266,8 @@
 mod member_change;
 mod member_id;
 mod membership;
-mod model_count;
-mod model_needs;
 mod model_replica;
+mod model_requirements;
 mod newer_peers;
 mod observed_load;
 mod open_ask;
@@ -273,13 +275,9 @@
 mod operator_path;
 mod operator_status;
 mod order;
-mod orderer;
-mod orderer_fault;
-mod orderer_phase;
-mod orderer_times;
-mod parts_answered;
-mod permit;
-mod pick;
+mod order_permit;
+mod pending_run_report;
+mod permit_request;
 mod place;
 mod placement;
 mod prefix_cache;
@@ -289,8 +287,8 @@
 mod presets;
 mod priority;
 mod prober;
-mod proposal_fault;
-mod pull_end;
+mod proposal_error;
+mod pull_outcome;
 mod quarantine;
 mod queue_entry;
 mod queue_outcome;
@@ -301,24 +299,25 @@
 mod region;
 mod region_contact;
 mod region_contacts;
-mod rendezvous;
+mod rendezvous_hash;
 mod replica;
+mod replica_count;
 mod reservation;
 mod resumption;
 mod retry_budget;
 mod retryable;
 mod route;
+mod route_candidate;
 mod route_query;
 mod route_reason;
 mod route_refusal;
 mod router;
-mod run_ask;
 mod run_end;
 mod run_permit;
-mod run_report;
 mod run_state;
+mod scored_upstream;
 mod seed_addresses;
-mod sending;
+mod sent_parts;
 mod service;
 mod slack_entry;
 mod slack_history;
@@ -331,24 +330,25 @@
 mod stream_guard;
 mod stream_verdict;
 mod suspect;
-mod suspect_ledger;
+mod suspect_table;
 mod target;
 mod ticket_id;
 mod token_bucket;
 mod traffic_class;
-mod unsent;
+mod unsent_order;
 mod unsynced_batch;
 mod upstream;
 mod upstream_group;
+mod upstream_index;
 mod upstream_kind;
 mod upstream_state;
 mod upstream_status;
 mod vm_entry;
 mod vm_health;
 mod vm_hint;
-mod vm_mark;
 mod vm_membership;
 mod vm_record;
+mod vm_record_id;
 mod vm_state;
 mod vm_status;
 mod vm_table;
--- /dev/null
+++ b/crates/ebonystand-core/src/order/order_stale_reason.rs
@@ -0,0 +1,17 @@
+use {super::*, derive_more::Debug};
+
+/// Reason why an [`OrderCommand`] was rejected as stale.
+#[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
+pub enum OrderStaleReason {
+    /// The order is abandoned.
+    #[display("abandoned")]
+    Abandoned,
+    /// Another attempt holds the order.
+    #[display("held by another")]
+    #[debug("Holder")]
+    #[serde(rename = "Holder")]
+    NotHolder,
+    /// The journal has no record of the order.
+    #[display("no record")]
+    Missing,
+}
--- a/crates/ebonystand-core/src/run_report.rs
+++ b/crates/ebonystand-core/src/pending_run_report.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// The end of a run that the owner is to know of.
+/// Report of a run's end that the owner has not confirmed yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct RunReport {
+pub(crate) struct PendingRunReport {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) message: QuarantineMessage,
     pub(crate) sent_at: Duration,
-    /// It is sent again until then.
-    pub(crate) until: Duration,
+    /// Time at which the report is dropped even if it is unconfirmed.
+    pub(crate) resend_until: Duration,
 }
 
-impl RunReport {
+impl PendingRunReport {
     pub(crate) fn is_crash(&self) -> bool {
         matches!(self.message, QuarantineMessage::Crashed { .. })
     }
--- a/crates/ebonystand-core/src/placement/mod.rs
+++ b/crates/ebonystand-core/src/placement/mod.rs
@@ -1,10 +1,11 @@
-//! Which engine loads which model.
+//! Placement: which engine of a region loads which model.
 
 use super::*;
 
 pub use {
     placement_action::PlacementAction, placement_order::PlacementOrder,
-    placement_reason::PlacementReason, placement_settings::PlacementSettings, state::Placement,
+    placement_reason::PlacementReason, placement_settings::PlacementSettings,
+    state::PlacementController,
 };
 
 pub(crate) use placement_view::PlacementView;
--- /dev/null
+++ b/crates/ebonystand-core/src/quarantine/outgoing_quarantine_message.rs
@@ -0,0 +1,11 @@
+use super::*;
+
+/// A [`QuarantineMessage`] to send to another VM. The protocol tolerates loss, delay and
+/// duplication.
+#[derive(Clone, Debug, Eq, Hash, PartialEq)]
+pub struct OutgoingQuarantineMessage {
+    /// Message to send.
+    pub message: QuarantineMessage,
+    /// VM that receives the message.
+    pub to: VmId,
+}
--- /dev/null
+++ b/crates/ebonystand-core/src/quarantine/quarantine_output.rs
@@ -0,0 +1,30 @@
+use super::*;
+
+/// What the caller of a [`Quarantine`] method has to send and to answer.
+#[derive(Clone, Debug, Default, Eq, PartialEq)]
+pub struct QuarantineOutput {
+    /// Replies to permit requests of this VM.
+    pub permit_answers: Vec<PermitAnswer>,
+    /// Runs whose crash report every reachable VM knows by now. Their callers may be answered.
+    pub recorded_runs: Vec<RunId>,
+    /// Messages to send to other VMs.
+    pub messages: Vec<OutgoingQuarantineMessage>,
+}
+
+/// Reply to this VM's request for a permit.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct PermitAnswer {
+    /// Whether the run may start.
+    pub permit: RunPermit,
+    /// Run that the permit was requested for.
+    pub run: RunId,
+}
+
+impl QuarantineOutput {
+    pub(crate) fn send(&mut self, to: &VmId, message: QuarantineMessage) {
+        self.messages.push(OutgoingQuarantineMessage {
+            message,
+            to: to.clone(),
+        });
+    }
+}
--- a/crates/ebonystand-core/src/suspect.rs
+++ b/crates/ebonystand-core/src/suspect.rs
@@ -1,97 +1,103 @@
 use {super::*, derive_more::Constructor};
 
-/// What one VM knows of a request that crashed upstreams. All VMs hold the state; only the owner
-/// uses the rest.
+/// State that one VM keeps of a request that crashed upstreams. All VMs hold the quarantine state
+/// and its expiry; only the owner uses the other fields.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Suspect {
-    /// Crash reports that were counted, so that a repeated one is not.
-    counted: BTreeSet<RunOf>,
+    /// Runs whose crash report was counted. A repeated report is ignored.
+    counted_runs: BTreeSet<VmRun>,
+    /// Number of crashes that count towards the quarantine.
     crashes: u32,
-    pub(crate) grant: Option<Grant>,
-    /// No grant before this time: a previous owner's grant may be in use.
+    pub(crate) grant: Option<RunGrant>,
+    /// Time before which no run is granted, since a run granted by a previous owner may be in
+    /// progress.
     pub(crate) handover_until: Duration,
-    /// No grant before all VMs know or this time; then those missing count as unreachable.
-    pub(crate) heard_by: Duration,
+    /// Time at which VMs that have not acknowledged the suspect count as unreachable. Before it, no
+    /// run is granted until all VMs have acknowledged.
+    pub(crate) ack_deadline: Duration,
     pub(crate) is_quarantined: bool,
-    last: Option<(UpstreamId, Duration)>,
-    /// Reports to be confirmed when all VMs know.
-    pub(crate) reports: Vec<RunOf>,
-    /// VMs that run it without a grant.
-    pub(crate) running: BTreeSet<VmId>,
-    /// No grant before those runs have ended or this time.
-    pub(crate) running_by: Duration,
-    /// When the VMs were last told.
-    pub(crate) told_at: Duration,
-    /// VMs that have not said that they know.
-    pub(crate) unheard: BTreeSet<VmId>,
-    pub(crate) until: Duration,
+    /// Upstream and time of the last crash report.
+    last_crash: Option<(UpstreamId, Duration)>,
+    /// Runs whose crash report is confirmed to the reporter once all VMs have acknowledged.
+    pub(crate) pending_reports: Vec<VmRun>,
+    /// VMs with runs in progress that started without a grant.
+    pub(crate) running_vms: BTreeSet<VmId>,
+    /// Time from which runs that started without a grant no longer block a new grant.
+    pub(crate) running_deadline: Duration,
+    /// Time of the last announcement to the VMs.
+    pub(crate) announced_at: Duration,
+    /// VMs that have not acknowledged the suspect or quarantine announcement.
+    pub(crate) unacked_vms: BTreeSet<VmId>,
+    /// Time at which the entry is removed.
+    pub(crate) expires_at: Duration,
 }
 
-/// The owner's one grant of a suspect.
+/// The owner's permission for the only run of a suspect that may be in progress.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct Grant {
+pub(crate) struct RunGrant {
+    /// Time at which a run without a report counts as a crash.
     pub(crate) expires: Duration,
-    pub(crate) run: RunOf,
+    pub(crate) run: VmRun,
 }
 
-/// A run on some VM.
+/// A run, identified across VMs.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(crate) struct RunOf {
+pub(crate) struct VmRun {
     pub(crate) run: RunId,
     pub(crate) vm: VmId,
 }
 
 /// Report that a run's upstream went down.
 #[derive(Clone, Constructor, Debug)]
-pub(crate) struct CrashOf {
-    /// Other runs of the request are under way on the reporter.
+pub(crate) struct CrashReport {
+    /// Whether other runs of the request are in progress on the reporting VM.
     pub(crate) is_running: bool,
-    pub(crate) run: RunOf,
+    pub(crate) run: VmRun,
     pub(crate) upstream: UpstreamId,
 }
 
 impl Suspect {
-    /// Crashes that quarantine a request.
-    const CRASHES: u32 = 2;
-    /// Reports about one upstream within this time are about one crash, unless the run was
-    /// granted: that one started after the crash before it.
-    const SAME_CRASH: Duration = Duration::from_secs(5);
+    /// Number of crashes that quarantines a request.
+    const QUARANTINE_THRESHOLD: u32 = 2;
+    /// Reports about one upstream within this time count as one crash, except for a granted run,
+    /// which started after the previous crash.
+    const SAME_CRASH_WINDOW: Duration = Duration::from_secs(5);
 
-    pub(crate) fn new(until: Duration) -> Self {
+    pub(crate) fn new(expires_at: Duration) -> Self {
         Self {
-            counted: BTreeSet::new(),
+            counted_runs: BTreeSet::new(),
             crashes: 0,
             grant: None,
             handover_until: Duration::ZERO,
-            heard_by: Duration::ZERO,
+            ack_deadline: Duration::ZERO,
             is_quarantined: false,
-            last: None,
-            reports: Vec::new(),
-            running: BTreeSet::new(),
-            running_by: Duration::ZERO,
-            told_at: Duration::ZERO,
-            unheard: BTreeSet::new(),
-            until,
+            last_crash: None,
+            pending_reports: Vec::new(),
+            running_vms: BTreeSet::new(),
+            running_deadline: Duration::ZERO,
+            announced_at: Duration::ZERO,
+            unacked_vms: BTreeSet::new(),
+            expires_at,
         }
     }
 
-    /// Counts a crash report once.
-    pub(crate) fn count(&mut self, now: Duration, run: &RunOf, upstream: &UpstreamId) {
-        if !self.counted.insert(run.clone()) {
+    /// Counts a crash report, unless this run's report was counted before.
+    pub(crate) fn record_crash(&mut self, now: Duration, run: &VmRun, upstream: &UpstreamId) {
+        if !self.counted_runs.insert(run.clone()) {
             return;
         }
-        let was_granted = self.end_grant(run);
-        let is_same = self.last.as_ref().is_some_and(|(last, at)| {
-            last == upstream && now.saturating_sub(*at) < Self::SAME_CRASH
+        let was_granted = self.release_grant(run);
+        let is_same = self.last_crash.as_ref().is_some_and(|(last_crash, at)| {
+            last_crash == upstream && now.saturating_sub(*at) < Self::SAME_CRASH_WINDOW
         });
         if was_granted || !is_same {
             self.add_crash(now);
         }
-        self.last = Some((upstream.clone(), now));
+        self.last_crash = Some((upstream.clone(), now));
     }
 
-    /// Ends the grant if it is that run's.
-    pub(crate) fn end_grant(&mut self, run: &RunOf) -> bool {
+    /// Removes the grant if it belongs to `run`. Returns whether it did.
+    pub(crate) fn release_grant(&mut self, run: &VmRun) -> bool {
         let was_granted = self.grant.as_ref().is_some_and(|grant| grant.run == *run);
         if was_granted {
             self.grant = None;
@@ -99,7 +105,7 @@
         was_granted
     }
 
-    /// Ends a grant that has expired, as a crash.
+    /// Removes a grant whose run is overdue and counts it as a crash. Returns whether it did.
     pub(crate) fn expire_grant(&mut self, now: Duration) -> bool {
         let is_expired = self
             .grant
@@ -112,37 +118,38 @@
         is_expired
     }
 
-    /// Whether a VM may be granted the next run.
-    pub(crate) fn is_free(&self, now: Duration) -> bool {
+    /// Whether the owner may grant the next run to a VM.
+    pub(crate) fn can_grant(&self, now: Duration) -> bool {
         self.grant.is_none()
             && now >= self.handover_until
-            && self.is_known(now)
-            && (self.running.is_empty() || now >= self.running_by)
+            && self.is_known_everywhere(now)
+            && (self.running_vms.is_empty() || now >= self.running_deadline)
     }
 
-    /// Whether all VMs that can be reached know of it.
-    pub(crate) fn is_known(&self, now: Duration) -> bool {
-        self.unheard.is_empty() || now >= self.heard_by
+    /// Whether every reachable VM has acknowledged the suspect.
+    pub(crate) fn is_known_everywhere(&self, now: Duration) -> bool {
+        self.unacked_vms.is_empty() || now >= self.ack_deadline
     }
 
-    /// Whether there is something to send again.
-    pub(crate) fn is_unsettled(&self) -> bool {
-        !self.unheard.is_empty() || !self.reports.is_empty()
+    /// Whether an announcement is unacknowledged or a crash report unconfirmed, and has to be
+    /// resent.
+    pub(crate) fn has_unacked_messages(&self) -> bool {
+        !self.unacked_vms.is_empty() || !self.pending_reports.is_empty()
     }
 
     pub(crate) fn set_running(&mut self, vm: &VmId, is_running: bool) {
         if is_running {
-            self.running.insert(vm.clone());
+            self.running_vms.insert(vm.clone());
         } else {
-            self.running.remove(vm);
+            self.running_vms.remove(vm);
         }
     }
 
     fn add_crash(&mut self, now: Duration) {
         self.crashes += 1;
-        if self.crashes >= Self::CRASHES {
+        if self.crashes >= Self::QUARANTINE_THRESHOLD {
             self.is_quarantined = true;
-            self.until = now + Quarantine::QUARANTINED_FOR;
+            self.expires_at = now + Quarantine::QUARANTINE_DURATION;
         }
     }
 }
--- a/crates/ebonystand-core/src/upstream_state.rs
+++ b/crates/ebonystand-core/src/upstream_state.rs
@@ -1,14 +1,15 @@
 use super::*;
 
-/// An upstream as the router of one VM knows it.
+/// State of an upstream as the router of one VM tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) address: SocketAddr,
-    pub(crate) circuit: Circuit,
-    /// Last sequence number of its cache events.
+    pub(crate) circuit: CircuitBreaker,
+    /// Sequence number of the upstream's last cache event.
     pub(crate) cache_sequence: u64,
     pub(crate) cost: u64,
-    /// Raised when its caches may be lost, so that older prefix hints no longer count.
+    /// Counter that is incremented when the upstream's caches may be lost, which invalidates older
+    /// prefix hints.
     pub(crate) generation: u32,
     pub(crate) id: UpstreamId,
     pub(crate) is_in_own_region: bool,
@@ -17,23 +18,25 @@
     pub(crate) load: ObservedLoad,
     pub(crate) region: u32,
     pub(crate) speed: u64,
-    /// When it came back cold; none if it is warm.
+    /// Time at which the upstream became available with cold caches; none if it was never cold.
     pub(crate) cold_since: Option<Duration>,
 }
 
 impl UpstreamState {
     /// Share of its speed that a cold upstream starts with.
-    const COLD_SHARE: f64 = 0.2;
+    const COLD_SPEED_SHARE: f64 = 0.2;
 
-    pub(crate) fn admits(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
-        !self.leaving && self.circuit.admits(now) && !excluded.contains(&self.id)
+    /// Whether the upstream may get a request: it is neither leaving nor `excluded`, and its circuit
+    /// breaker allows a dispatch.
+    pub(crate) fn allows_dispatch(&self, now: Duration, excluded: &[UpstreamId]) -> bool {
+        !self.leaving && self.circuit.allows_dispatch(now) && !excluded.contains(&self.id)
     }
 
     pub(crate) fn new(id: &UpstreamId, upstream: &Upstream) -> Self {
         Self {
             address: upstream.address,
             cache_sequence: 0,
-            circuit: Circuit::default(),
+            circuit: CircuitBreaker::default(),
             cold_since: None,
             cost: upstream.cost,
             generation: 0,
@@ -47,19 +50,19 @@
         }
     }
 
-    /// Starts slow start anew and drops its prefix hints.
-    pub(crate) fn became_cold(&mut self, now: Duration) {
+    /// Restarts slow start and invalidates the prefix hints to the upstream.
+    pub(crate) fn mark_cold(&mut self, now: Duration) {
         self.cold_since = Some(now);
         self.generation = self.generation.wrapping_add(1);
     }
 
-    /// Share of its speed to count on, between [`Self::COLD_SHARE`] and 1.
-    pub(crate) fn ramp(&self, now: Duration, slow_start: Duration) -> f64 {
+    /// Share of the upstream's speed to count on, from [`Self::COLD_SPEED_SHARE`] to 1.
+    pub(crate) fn slow_start_factor(&self, now: Duration, slow_start: Duration) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
         let elapsed = now.saturating_sub(since).as_secs_f64();
         let warmed = elapsed / slow_start.as_secs_f64().max(f64::MIN_POSITIVE);
-        (Self::COLD_SHARE + (1.0 - Self::COLD_SHARE) * warmed).min(1.0)
+        (Self::COLD_SPEED_SHARE + (1.0 - Self::COLD_SPEED_SHARE) * warmed).min(1.0)
     }
 }
--- a/crates/ebonystand-core/tests/fencing.rs
+++ b/crates/ebonystand-core/tests/fencing.rs
@@ -1,9 +1,9 @@
-//! Fencing of orders to engines, for engines that check the number and for those that do not.
+//! Fencing of orders to engines that check the fencing token, and to engines that do not.
 
 use {
     ebonystand_core::{
-        FenceCommand, FenceHolder, FenceOutcome, FencePermit, FenceRegistry, Orderer, OrdererFault,
-        OrdererTimes, Upstream, UpstreamKind,
+        FenceCommand, FenceHolder, FenceOutcome, FencePermit, FenceRegistry, FencedRole,
+        FencedRoleError, FencedRoleTimings, Upstream, UpstreamKind,
     },
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -46,8 +46,9 @@
     }
 }
 
-/// Two VMs see their predecessor vanish and claim its role at once; a third claim was on its way
-/// for long. One gets the next number, the others none; a resend of the winner gets it again.
+/// Two VMs see their predecessor vanish and claim its role at the same time; a third claim is long
+/// delayed. One of them gets the next token and the others none. The winner's resent claim returns
+/// the same token.
 #[test]
 fn of_two_successors_one_gets_the_next_number() {
     let mut registry = FenceRegistry::default();
@@ -67,45 +68,45 @@
     assert_eq!(registry.apply(&renew), FenceOutcome::Lost { fence: 2 });
 }
 
-/// A successor may order at once where the upstream checks numbers, and elsewhere only after its
-/// wait and after it has read a state that its predecessor can no longer change.
+/// A new holder may send orders at once to an upstream that checks fencing tokens. To another it
+/// must wait and then read a state that its predecessor can no longer change.
 #[test]
 fn a_successor_waits_and_reads_before_it_orders() {
-    let (mut registry, times) = (FenceRegistry::default(), OrdererTimes::default());
+    let (mut registry, times) = (FenceRegistry::default(), FencedRoleTimings::default());
     registry.apply(&claim("a", 0));
-    let mut orderer = Orderer::new(Duration::ZERO, ROLE.into(), holder("b", 1), times);
-    orderer.observe(Duration::ZERO, &registry);
+    let mut fenced_role = FencedRole::new(Duration::ZERO, ROLE.into(), holder("b", 1), times);
+    fenced_role.observe_registry(Duration::ZERO, &registry);
     let mut now = Duration::ZERO;
-    let mut advance = |orderer: &mut Orderer, to: Duration| {
+    let mut advance = |fenced_role: &mut FencedRole, to: Duration| {
         while now < to {
             now += STEP;
-            if let Some(command) = orderer.poll(now) {
-                orderer.outcome(now, &registry.apply(&command));
+            if let Some(command) = fenced_role.poll(now) {
+                fenced_role.handle_outcome(now, &registry.apply(&command));
             }
         }
     };
     let (id, checks, ignores) = ("engine".into(), upstream(true), upstream(false));
     let held = times.lease * 2 + STEP * 2;
-    advance(&mut orderer, held);
-    assert!(orderer.pass(held, &id, &checks).is_ok());
+    advance(&mut fenced_role, held);
+    assert!(fenced_role.authorize_order(held, &id, &checks).is_ok());
     assert_eq!(
-        orderer.pass(held, &id, &ignores).err(),
-        Some(OrdererFault::Waiting)
+        fenced_role.authorize_order(held, &id, &ignores).err(),
+        Some(FencedRoleError::PredecessorActive)
     );
-    orderer.state_read(held, id.clone());
-    let open = held + times.succession();
-    advance(&mut orderer, open);
+    fenced_role.record_state_read(held, id.clone());
+    let open = held + times.succession_wait();
+    advance(&mut fenced_role, open);
     assert_eq!(
-        orderer.pass(open, &id, &ignores).err(),
-        Some(OrdererFault::Unread)
+        fenced_role.authorize_order(open, &id, &ignores).err(),
+        Some(FencedRoleError::StateUnread)
     );
-    orderer.state_read(open, id.clone());
-    assert!(orderer.pass(open, &id, &ignores).is_ok());
+    fenced_role.record_state_read(open, id.clone());
+    assert!(fenced_role.authorize_order(open, &id, &ignores).is_ok());
 }
 
-/// A holder with a slow clock renews; its successor, with a fast one, claims right behind that
-/// renewal. The holder hears the answer soon, late or twice, and nothing else. Its last order
-/// must have taken effect before the successor's first one.
+/// A holder with a slow clock renews its lease, and a successor with a fast clock claims the role
+/// right behind that renewal. The holder receives the answer to its renewal early, late or twice,
+/// and nothing else. Its last order must have taken effect before the successor's first one.
 #[rstest]
 #[case::soon(&[0])]
 #[case::late(&[5_500])]
@@ -113,10 +114,10 @@
 fn the_wait_outlasts_the_predecessor(#[case] answers: &[u32]) {
     let (mut registry, times, engine) = (
         FenceRegistry::default(),
-        OrdererTimes::default(),
+        FencedRoleTimings::default(),
         upstream(false),
     );
-    let new = |vm| Orderer::new(Duration::ZERO, ROLE.into(), holder(vm, 1), times);
+    let new = |vm| FencedRole::new(Duration::ZERO, ROLE.into(), holder(vm, 1), times);
     let (mut a, mut b) = (new("a"), new("b"));
     let (mut claimed, mut last, mut first) = (None, None, None);
     for now in (0..5_000).map(|turn| MS * 10 * turn) {
@@ -125,30 +126,30 @@
             && claimed.is_none()
         {
             let outcome = registry.apply(&command);
-            b.observe(Duration::ZERO, &registry);
+            b.observe_registry(Duration::ZERO, &registry);
             if now < times.lease * 3 {
-                a.outcome(slow, &outcome);
+                a.handle_outcome(slow, &outcome);
             } else {
                 let claim = b.poll(fast).expect("the holder seems dead");
-                b.outcome(fast, &registry.apply(&claim));
+                b.handle_outcome(fast, &registry.apply(&claim));
                 claimed = Some((now, outcome));
             }
         }
         if let Some((at, outcome)) = claimed {
             if answers.iter().any(|wait| at + MS * *wait == now) {
-                a.outcome(slow, &outcome);
+                a.handle_outcome(slow, &outcome);
             }
             if let Some(command) = b.poll(fast) {
-                b.outcome(fast, &registry.apply(&command));
+                b.handle_outcome(fast, &registry.apply(&command));
             }
         }
-        for (orderer, clock) in [(&mut a, slow), (&mut b, fast)] {
-            orderer.state_read(clock, "engine".into());
+        for (fenced_role, clock) in [(&mut a, slow), (&mut b, fast)] {
+            fenced_role.record_state_read(clock, "engine".into());
         }
-        if a.pass(slow, &"engine".into(), &engine).is_ok() {
+        if a.authorize_order(slow, &"engine".into(), &engine).is_ok() {
             last = Some(now);
         }
-        if first.is_none() && b.pass(fast, &"engine".into(), &engine).is_ok() {
+        if first.is_none() && b.authorize_order(fast, &"engine".into(), &engine).is_ok() {
             first = Some(now);
         }
     }
@@ -157,38 +158,40 @@
     assert!(last + times.order <= first, "{last:?} {first:?}");
 }
 
-/// A process with its own clock, which is fast or slow by up to the bound.
+/// Process with its own clock, which is fast or slow by up to the drift bound.
 struct Vm {
-    /// Until then it hears nothing of the registry, and takes a live holder for dead.
+    /// Time until which the process sees no registry change, so that it takes a live holder for
+    /// dead.
     blind_until: Duration,
     frozen_until: Duration,
-    orderer: Orderer,
+    fenced_role: FencedRole,
     permit: Option<FencePermit>,
     /// Clock rate in thousandths of true time.
     rate: u32,
 }
 
-struct Contest {
+/// Two VMs that compete for a role, and an engine that ignores fencing tokens.
+struct Simulation {
     now: Duration,
-    /// Answers on their way: when they arrive, and at which VM.
+    /// Results in flight, with their arrival time and the index of the receiving VM.
     outcomes: Vec<(Duration, usize, FenceOutcome)>,
     registry: FenceRegistry,
     rng: Pcg64Mcg,
-    /// Orders as the engine sees them: when they take effect, and their number.
+    /// Orders as the engine sees them, with the time at which they take effect and their token.
     seen: Vec<(Duration, u64)>,
     vms: [Vm; 2],
 }
 
-impl Contest {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let vm = |(rate, vm)| Vm {
             blind_until: Duration::ZERO,
             frozen_until: Duration::ZERO,
-            orderer: Orderer::new(
+            fenced_role: FencedRole::new(
                 Duration::ZERO,
                 ROLE.into(),
                 holder(vm, 1),
-                OrdererTimes::default(),
+                FencedRoleTimings::default(),
             ),
             permit: None,
             rate,
@@ -203,33 +206,33 @@
         }
     }
 
-    /// A VM hears, claims, renews and orders; it uses a permit one turn after it got it, and
-    /// may freeze in between.
-    fn turn(&mut self, i: usize) {
+    /// Runs one turn of a VM: it receives results, claims, renews and orders. It uses a permit one
+    /// turn after it was issued, and may freeze in between.
+    fn run_turn(&mut self, i: usize) {
         let (now, vm, rng) = (self.now, &mut self.vms[i], &mut self.rng);
         let clock = now * vm.rate / 1_000;
         for (_, _, outcome) in self
             .outcomes
             .extract_if(.., |(at, to, _)| *to == i && *at <= now)
         {
-            vm.orderer.outcome(clock, &outcome);
+            vm.fenced_role.handle_outcome(clock, &outcome);
         }
         if now >= vm.blind_until {
-            vm.orderer.observe(clock, &self.registry);
+            vm.fenced_role.observe_registry(clock, &self.registry);
         }
-        if let Some(command) = vm.orderer.poll(clock).filter(|_| rng.random_bool(0.9)) {
+        if let Some(command) = vm.fenced_role.poll(clock).filter(|_| rng.random_bool(0.9)) {
             let longest = if rng.random_bool(0.2) { 9_000 } else { 50 };
             let arrival = now + MS * rng.random_range(1..longest);
             let outcome = self.registry.apply(&command);
             self.outcomes.push((arrival, i, outcome));
         }
         let (id, engine) = ("engine".into(), upstream(false));
-        vm.orderer.state_read(clock, "engine".into());
+        vm.fenced_role.record_state_read(clock, "engine".into());
         if let Some(Ok(fence)) = vm.permit.take().map(|permit| permit.redeem(clock)) {
-            let late = OrdererTimes::default().order * rng.random_range(0..=1);
+            let late = FencedRoleTimings::default().order * rng.random_range(0..=1);
             self.seen.push((now + late, fence));
         }
-        vm.permit = vm.orderer.pass(clock, &id, &engine).ok();
+        vm.permit = vm.fenced_role.authorize_order(clock, &id, &engine).ok();
         if rng.random_bool(0.01) {
             vm.blind_until = now + MS * rng.random_range(1_000..40_000);
         }
@@ -239,26 +242,26 @@
     }
 }
 
-/// Two VMs compete for a role over a log that delays and loses, with clocks at the edges of their
+/// Two VMs compete for a role over a log with delays and losses, clocks at the edges of the drift
 /// bound, freezes, orders that take effect late, and claims while the holder lives. An engine that
-/// ignores numbers must never see an order of a holder after one of its successor.
+/// ignores tokens must never see an order of a former holder after one of its successor.
 #[test]
 fn an_engine_that_ignores_numbers_sees_one_orderer_at_a_time() {
     let mut successions = 0;
     for seed in 0..SEEDS {
-        let mut contest = Contest::new(seed);
-        while contest.now < Duration::from_secs(240) {
-            contest.now += STEP;
+        let mut simulation = Simulation::new(seed);
+        while simulation.now < Duration::from_secs(240) {
+            simulation.now += STEP;
             for i in 0..2 {
-                if contest.now >= contest.vms[i].frozen_until {
-                    contest.turn(i);
+                if simulation.now >= simulation.vms[i].frozen_until {
+                    simulation.run_turn(i);
                 }
             }
         }
-        contest.seen.sort_unstable();
-        let falls = contest.seen.windows(2).any(|pair| pair[0].1 > pair[1].1);
+        simulation.seen.sort_unstable();
+        let falls = simulation.seen.windows(2).any(|pair| pair[0].1 > pair[1].1);
         assert!(!falls, "seed {seed}");
-        successions += contest.seen.last().map_or(0, |(_, fence)| fence - 1);
+        successions += simulation.seen.last().map_or(0, |(_, fence)| fence - 1);
     }
     println!("{successions} successions in {SEEDS} seeds");
     assert!(successions > SEEDS);
--- a/crates/ebonystand-core/tests/quarantine.rs
+++ b/crates/ebonystand-core/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search over the real quarantine code of three VMs: every order of sends, crashes,
-//! deliveries, losses and resends, to a stated bound.
+//! Exhaustive search over the quarantine state machines of three VMs: every order of sends,
+//! crashes, deliveries, losses and resends, up to a bound on each.
 
 use {
     ebonystand_core::*,
@@ -14,38 +14,40 @@
 };
 
 const FINGERPRINT: Fingerprint = 5;
-const LIMIT: Duration = Duration::from_secs(60);
+const RUN_LIMIT: Duration = Duration::from_secs(60);
 const VMS: [&str; 3] = ["vm-0", "vm-1", "vm-2"];
 
-/// What the gateway leaves out, so that the search shows that it is needed.
+/// Safeguard that the simulated gateway leaves out, to show that the search finds the resulting
+/// fault.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Without {
-    /// A suspect is sent without asking its owner.
+    /// Suspects run without a permit from their owner.
     Ask,
-    /// The caller is answered before the crash is recorded.
+    /// The caller is answered before the crash is recorded on all VMs.
     Hold,
     Nothing,
 }
 
-/// A request of the caller, on the VM of that index.
+/// A request of the caller, with the index of its VM and its run.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Request {
     Asking(usize, RunId),
-    /// It crashed its upstream; its caller has no answer yet.
+    /// The run crashed its upstream, and the caller has no answer yet.
     Held(usize, RunId),
     Running(usize, RunId),
 }
 
+/// State of the search: the VMs, the messages in flight and what the caller may still do.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct World {
     crashes: u32,
     has_lost: bool,
     losses: u32,
-    /// Messages under way, with the index of their sender.
-    network: Vec<(usize, QuarantineSend)>,
+    /// Messages in flight, each with the index of its sender.
+    network: Vec<(usize, OutgoingQuarantineMessage)>,
     now: Duration,
     requests: Vec<Request>,
-    /// Requests that the caller may still send.
+    /// Number of requests that the caller may still send.
     sends: u32,
     vms: Vec<Quarantine>,
     without: Without,
@@ -60,7 +62,7 @@
             .collect::<BTreeSet<_>>();
         let vm = |id: &VmId| {
             let mut vm = Quarantine::new(id.clone(), 0);
-            vm.set_live(Duration::ZERO, live.clone());
+            vm.set_live_vms(Duration::ZERO, live.clone());
             vm
         };
         Self {
@@ -76,19 +78,19 @@
         }
     }
 
-    /// Every world that can follow. At most two requests are open at a time.
-    fn next(&self) -> Vec<Self> {
+    /// All successor states. At most two requests are open at a time.
+    fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         if self.sends > 0 && self.requests.len() < 2 {
-            next.extend((0..self.vms.len()).map(|vm| self.sent(vm)));
+            next.extend((0..self.vms.len()).map(|vm| self.after_send(vm)));
         }
         for at in 0..self.requests.len() {
             if let Request::Running(vm, run) = self.requests[at] {
-                next.push(self.crashed(at, vm, run));
+                next.push(self.after_crash(at, vm, run));
             }
         }
         for at in 0..self.network.len() {
-            next.push(self.delivered(at));
+            next.push(self.after_delivery(at));
             if self.losses > 0 {
                 let mut world = self.clone();
                 world.losses -= 1;
@@ -98,35 +100,35 @@
             }
         }
         if self.has_lost && self.now.is_zero() {
-            next.push(self.ticked());
+            next.push(self.after_tick());
         }
         next
     }
 
     fn begin(&mut self, vm: usize, run: RunId) {
-        match self.vms[vm].begin(self.now, run, FINGERPRINT) {
-            QuarantineVerdict::Ask if self.without != Without::Ask => {
+        match self.vms[vm].start_run(self.now, run, FINGERPRINT) {
+            QuarantineDecision::PermitRequired if self.without != Without::Ask => {
                 self.requests.push(Request::Asking(vm, run));
-                let step = self.vms[vm].ask(self.now, run, FINGERPRINT, LIMIT);
-                self.apply(vm, step);
+                let output = self.vms[vm].request_permit(self.now, run, FINGERPRINT, RUN_LIMIT);
+                self.apply(vm, output);
             }
-            QuarantineVerdict::Ask | QuarantineVerdict::Runs => {
+            QuarantineDecision::PermitRequired | QuarantineDecision::Started => {
                 self.requests.push(Request::Running(vm, run));
             }
-            QuarantineVerdict::Refused { .. } => {}
+            QuarantineDecision::Refused { .. } => {}
         }
     }
 
-    fn sent(&self, vm: usize) -> Self {
+    fn after_send(&self, vm: usize) -> Self {
         let mut world = self.clone();
         world.sends -= 1;
-        let run = world.vms[vm].new_run();
+        let run = world.vms[vm].allocate_run();
         world.begin(vm, run);
         world.sorted()
     }
 
-    /// Each run crashes an upstream of its own: the worst case.
-    fn crashed(&self, at: usize, vm: usize, run: RunId) -> Self {
+    /// Crashes a run's upstream. Each run has an upstream of its own, which is the worst case.
+    fn after_crash(&self, at: usize, vm: usize, run: RunId) -> Self {
         let mut world = self.clone();
         world.crashes += 1;
         world.requests.remove(at);
@@ -135,46 +137,46 @@
         }
         let upstream = format!("{vm}-{run}").into();
         let end = RunEnd::Crashed { upstream };
-        let step = world.vms[vm].finished(world.now, run, end);
-        world.apply(vm, step);
+        let output = world.vms[vm].finish_run(world.now, run, end);
+        world.apply(vm, output);
         world.sorted()
     }
 
-    fn delivered(&self, at: usize) -> Self {
+    fn after_delivery(&self, at: usize) -> Self {
         let mut world = self.clone();
         let (from, send) = world.network.remove(at);
         let to = VMS
             .iter()
             .position(|vm| **vm == *send.to)
             .expect("it exists");
-        let step = world.vms[to].receive(world.now, &VMS[from].into(), send.message);
-        world.apply(to, step);
+        let output = world.vms[to].handle_message(world.now, &VMS[from].into(), send.message);
+        world.apply(to, output);
         world.sorted()
     }
 
-    /// Time for all to send again what is not confirmed.
-    fn ticked(&self) -> Self {
-        self.ticked_at(Duration::from_millis(200))
+    /// Advances the clock so far that all VMs resend what is unconfirmed.
+    fn after_tick(&self) -> Self {
+        self.after_tick_at(Duration::from_millis(200))
     }
 
-    fn ticked_at(&self, now: Duration) -> Self {
+    fn after_tick_at(&self, now: Duration) -> Self {
         let mut world = self.clone();
         world.now = now;
         for vm in 0..self.vms.len() {
-            let step = world.vms[vm].tick(world.now);
-            world.apply(vm, step);
+            let output = world.vms[vm].tick(world.now);
+            world.apply(vm, output);
         }
         world.sorted()
     }
 
-    fn apply(&mut self, vm: usize, step: QuarantineStep) {
+    fn apply(&mut self, vm: usize, output: QuarantineOutput) {
         self.network
-            .extend(step.sends.into_iter().map(|send| (vm, send)));
-        for run in step.recorded {
+            .extend(output.messages.into_iter().map(|send| (vm, send)));
+        for run in output.recorded_runs {
             self.requests
                 .retain(|request| *request != Request::Held(vm, run));
         }
-        for PermitAnswer { permit, run } in step.answers {
+        for PermitAnswer { permit, run } in output.permit_answers {
             self.requests
                 .retain(|request| *request != Request::Asking(vm, run));
             if permit == RunPermit::Granted {
@@ -183,23 +185,23 @@
         }
     }
 
-    /// Delivers all messages.
-    fn settled(mut self) -> Self {
+    /// Delivers all messages in flight.
+    fn after_all_deliveries(mut self) -> Self {
         while !self.network.is_empty() {
-            self = self.delivered(0);
+            self = self.after_delivery(0);
         }
         self
     }
 
-    fn sent_and_settled(&self, vm: usize) -> Self {
-        self.sent(vm).settled()
+    fn after_send_and_deliveries(&self, vm: usize) -> Self {
+        self.after_send(vm).after_all_deliveries()
     }
 
-    fn crashed_and_settled(&self) -> Self {
+    fn after_crash_and_deliveries(&self) -> Self {
         let Some(Request::Running(vm, run)) = self.requests.first().cloned() else {
             return self.clone();
         };
-        self.crashed(0, vm, run).settled()
+        self.after_crash(0, vm, run).after_all_deliveries()
     }
 
     fn sorted(mut self) -> Self {
@@ -213,23 +215,23 @@
     }
 }
 
-/// Worlds seen, and the shortest way to a third crash if there is one.
+/// Number of states visited, and the shortest path to a third crash if there is one.
 fn search(start: &World) -> (usize, Option<Vec<World>>) {
     let seen = Cell::new(0);
     let path = bfs(
         start,
         |world| {
             seen.set(seen.get() + 1);
-            world.next()
+            world.successors()
         },
         |world| world.crashes > 2,
     );
     (seen.get(), path)
 }
 
-/// A request crashes each upstream that runs it, and its caller sends it again through any VM,
-/// up to two at a time, while messages between the VMs come in any order, or are lost and sent
-/// again. Two upstreams go down, and never a third.
+/// A request that crashes every upstream it runs on takes down at most two, although its caller
+/// sends it again through any VM, up to two at a time, and messages between VMs are reordered, lost
+/// and resent.
 #[rstest]
 #[case::any_order(3, 6, 0)]
 #[case::one_loss_and_resend(2, 5, 1)]
@@ -246,8 +248,8 @@
     assert_eq!(path.map(|path| path.len()), None);
 }
 
-/// The same caller, when the VMs answer before a crash is recorded, or send a suspect without
-/// asking: the search must find the third crash, or it proves nothing.
+/// The search finds a third crash when a safeguard is missing: when callers are answered before a
+/// crash is recorded, or suspects run without a permit. Otherwise the search would prove nothing.
 #[rstest]
 fn without_a_safeguard_a_third_upstream_goes_down(
     #[values(Without::Ask, Without::Hold)] without: Without,
@@ -257,15 +259,18 @@
     println!("{without:?}: third crash after {steps} steps, {seen} worlds");
 }
 
-/// A VM gets the grant for a suspect and is killed with its run, or cut off. Nobody tells how the
-/// run ended: it must count as a crash, or the next grant could cost a third upstream.
+/// A VM that holds the grant for a suspect is killed with its run, or partitioned, and nobody
+/// reports the run's end. The run must count as a crash, or the next grant could take down a third
+/// upstream.
 #[test]
 fn a_run_whose_vm_vanished_counts_as_a_crash() {
-    let first = World::new(3, 3, 0, Without::Nothing).sent_and_settled(0);
-    let mut world = first.crashed_and_settled().sent_and_settled(1);
+    let first = World::new(3, 3, 0, Without::Nothing).after_send_and_deliveries(0);
+    let mut world = first
+        .after_crash_and_deliveries()
+        .after_send_and_deliveries(1);
     assert!(matches!(world.requests[..], [Request::Running(1, _)]));
-    world.now = Quarantine::START_WITHIN + LIMIT;
-    let world = world.ticked_at(world.now).settled();
+    world.now = Quarantine::START_TIMEOUT + RUN_LIMIT;
+    let world = world.after_tick_at(world.now).after_all_deliveries();
     let refusal = world.vms[2].refusal(world.now, FINGERPRINT);
     assert_eq!(
         refusal.map(|refusal| refusal.code),
@@ -273,16 +278,18 @@
     );
 }
 
-/// The owner of a suspect leaves while another VM runs it by its grant. The new owner does not
-/// know of the grant and must not give a second one before that run has ended.
+/// The owner of a suspect leaves while another VM runs it under the owner's grant. The new owner
+/// does not know of that grant and must not give a second one before the run has ended.
 #[rstest]
 fn a_new_owner_waits_for_the_old_ones_grant(#[values(0, 1, 2)] gone: usize) {
     let (holder, asker) = ((gone + 1) % 3, (gone + 2) % 3);
-    let first = World::new(3, 4, 0, Without::Nothing).sent_and_settled(gone);
-    let mut world = first.crashed_and_settled().sent_and_settled(holder);
+    let first = World::new(3, 4, 0, Without::Nothing).after_send_and_deliveries(gone);
+    let mut world = first
+        .after_crash_and_deliveries()
+        .after_send_and_deliveries(holder);
     let live = BTreeSet::from([VMS[holder].into(), VMS[asker].into()]);
-    world.vms[holder].set_live(world.now, live.clone());
-    world.vms[asker].set_live(world.now, live);
-    let world = world.sent_and_settled(asker);
+    world.vms[holder].set_live_vms(world.now, live.clone());
+    world.vms[asker].set_live_vms(world.now, live);
+    let world = world.after_send_and_deliveries(asker);
     assert!(matches!(world.requests[..], [Request::Running(vm, _)] if vm == holder));
 }
--- a/crates/ebonystand-core/tests/routing.rs
+++ b/crates/ebonystand-core/tests/routing.rs
@@ -1,19 +1,19 @@
-//! Which upstream gets a request, and which never does.
+//! Choice of the upstream that gets a request, and the upstreams that must never get it.
 
 mod common;
 
 use {common::*, ebonystand_core::*, rstest::rstest, std::time::Duration};
 
-/// A family's request may only run in iroise. Its VM stands in armor, where ten idle upstreams
-/// wait, and the one upstream in iroise is busy. However the loads lie, no request may go to
-/// another region, neither first nor when a retry excludes the upstream that failed.
+/// A family's requests may only run in iroise. Its VM is in armor, which has ten idle upstreams,
+/// while both upstreams in iroise are busy. Whatever the load, no request may go to another region,
+/// neither at first nor when a retry excludes the upstream that failed.
 #[rstest]
 fn no_request_leaves_its_residency(#[values(0, 2_000, 1_000_000)] queued: Tokens) {
     let mut router = router(&document(&[10, 10, 2]));
     let (target, residency) = (model(), regions(&["iroise"]));
     let mut query = query(&target, &residency);
-    router.report(ms(1), "iroise-0", report(queued));
-    router.report(ms(1), "iroise-1", report(queued));
+    router.record_load_report(ms(1), "iroise-0", report(queued));
+    router.record_load_report(ms(1), "iroise-1", report(queued));
     for n in 0..200 {
         if let Ok(route) = router.route(ms(n), &query) {
             assert_eq!(&*route.region, "iroise");
@@ -31,7 +31,7 @@
 }
 
 /// A workspace's prompts are cached in armor when an operator narrows its residency to argoat. The
-/// hint must not lead its next request back.
+/// prefix hint must not route its next request back to armor.
 #[test]
 fn a_prefix_hint_never_overrides_residency() {
     let mut router = router(&document(&[1, 1, 0]));
@@ -45,9 +45,9 @@
     }
 }
 
-/// A request is routed, then waits for a slot. Meanwhile an operator narrows the workspace's
-/// residency, puts the upstream on leave, or gives its name to a server in another region. The
-/// dispatch asks again right before its first byte and must be told no.
+/// A request is routed and then waits for a slot. Meanwhile an operator narrows the workspace's
+/// residency, sets the upstream to leaving, moves its name to a server in another region, removes
+/// it or changes its models. The check right before the dispatch must reject the upstream.
 #[rstest]
 #[case::residency(|_: &mut Document| (), &["argoat"])]
 #[case::leaving(|document: &mut Document| {
@@ -72,15 +72,15 @@
     let mut router = router(&document);
     let (target, before, after) = (model(), regions(&["armor"]), regions(residency));
     let route = router.route(ms(1), &query(&target, &before)).expect("idle");
-    assert!(router.confirm(ms(1), &query(&target, &before), &route.upstream));
+    assert!(router.can_dispatch(ms(1), &query(&target, &before), &route.upstream));
     document.version = 2;
     change(&mut document);
     router.configure(ms(2), &document);
-    assert!(!router.confirm(ms(3), &query(&target, &after), &route.upstream));
+    assert!(!router.can_dispatch(ms(3), &query(&target, &after), &route.upstream));
 }
 
-/// Two documents cross on their way. The older one comes last and must not undo the newer one,
-/// which put an upstream on leave.
+/// Two documents arrive out of order. The older one arrives last and must not undo the newer one,
+/// which sets an upstream to leaving.
 #[test]
 fn an_older_document_changes_nothing() {
     let old = document(&[1, 0, 0]);
@@ -93,9 +93,9 @@
     assert!(router.route(ms(2), &query(&target, &residency)).is_err());
 }
 
-/// An upstream refuses connections while its last report says that it is idle. Each request sent
-/// there is lost time for its caller; after three failures the VM must send it none until it has
-/// waited, then one alone, and more only after that one was answered.
+/// An upstream refuses connections while its last report shows it idle, and each request sent there
+/// wastes its caller's time. After three failures the VM must send it no requests for a while, then
+/// a single one, and more only after that one was answered.
 #[test]
 fn a_dead_upstream_gets_no_requests_but_one_probe() {
     let mut router = router(&document(&[1, 0, 0]));
@@ -103,16 +103,16 @@
     let query = query(&target, &residency);
     for n in 0..3 {
         let route = router.route(ms(n), &query).expect("closed");
-        router.started(ms(n), &route.upstream, route.work);
-        router.finished(ms(n), &route.upstream, DispatchEnd::Failed);
+        router.record_dispatch(ms(n), &route.upstream, route.work);
+        router.record_dispatch_end(ms(n), &route.upstream, DispatchEnd::Failed);
     }
     let refusal = router.route(ms(500), &query).expect_err("open");
     assert!(refusal.retry_after.is_some());
     let route = router.route(ms(1_100), &query).expect("a probe");
-    router.started(ms(1_100), &route.upstream, route.work);
+    router.record_dispatch(ms(1_100), &route.upstream, route.work);
     assert!(router.route(ms(1_101), &query).is_err(), "one at a time");
     let first_token = ms(50);
-    router.finished(
+    router.record_dispatch_end(
         ms(1_200),
         &route.upstream,
         DispatchEnd::Answered { first_token },
@@ -120,8 +120,8 @@
     assert!(router.route(ms(1_201), &query).is_ok());
 }
 
-/// One upstream of five is slow for a reason of its own: its queue is empty, and each answer takes
-/// two seconds to its first token. By its reports it is the idlest and would draw every request.
+/// One upstream of five is slow for a reason of its own: its queue is empty, but each answer takes
+/// two seconds to its first token. By its reports it is the idlest and would attract every request.
 #[test]
 fn an_upstream_whose_answers_are_late_gets_few_requests() {
     let mut router = router(&document(&[5, 0, 0]));
@@ -132,16 +132,17 @@
         let route = route.expect("idle");
         let is_slow = &*route.upstream == "armor-0";
         slow += u32::from(is_slow);
-        router.started(ms(n * 20), &route.upstream, route.work);
+        router.record_dispatch(ms(n * 20), &route.upstream, route.work);
         let first_token = ms(if is_slow { 2_000 } else { 100 });
         let end = DispatchEnd::Answered { first_token };
-        router.finished(ms(n * 20 + 1), &route.upstream, end);
-        router.report(ms(n * 20 + 1), &route.upstream, report(0));
+        router.record_dispatch_end(ms(n * 20 + 1), &route.upstream, end);
+        router.record_load_report(ms(n * 20 + 1), &route.upstream, report(0));
     }
     assert!(slow < 50, "{slow} of 500; a fifth would be 100");
 }
 
-/// A fifth upstream is added to a region with cold caches. It must be brought to its full share over the preset's time, not at once.
+/// A fifth upstream with cold caches is added to a region. It must reach its full share of the
+/// requests over the preset's slow start, not at once.
 #[test]
 fn a_cold_upstream_gets_its_share_slowly() {
     let mut document = document(&[4, 0, 0]);
@@ -160,11 +161,11 @@
             let route = router
                 .route(now, &query(&target, &residency))
                 .expect("idle");
-            router.started(now, &route.upstream, route.work);
+            router.record_dispatch(now, &route.upstream, route.work);
             cold += u32::from(&*route.upstream == "armor-new");
             if n % 25 == 24 {
                 for id in document.upstreams.keys() {
-                    router.report(now, id, report(0));
+                    router.record_load_report(now, id, report(0));
                 }
             }
         }
@@ -179,8 +180,8 @@
     );
 }
 
-/// Armor is busy, argoat idle behind a link of 15 ms. A caller is sent away only if that is
-/// predicted to gain more than the preset's threshold; a small gain is not worth the link.
+/// Armor is busy, and argoat is idle behind a link of 15 ms. A request is sent away only if the
+/// predicted gain exceeds the preset's threshold; a small gain is not worth the link.
 #[rstest]
 #[case(60, 0, true)]
 #[case(60, 150, false)]
@@ -193,7 +194,7 @@
     let mut document = document(&[1, 1, 0]);
     document.presets.ordinary.send_away_gain_ms = threshold;
     let mut router = router(&document);
-    router.report(ms(1), "armor-0", report(queued));
+    router.record_load_report(ms(1), "armor-0", report(queued));
     let (target, residency) = (model(), regions(&["armor", "argoat"]));
     let route = router
         .route(ms(1), &query(&target, &residency))
@@ -202,14 +203,15 @@
     assert_eq!(route.reason == RouteReason::SentAway, away);
 }
 
-/// All upstreams have seconds of work queued. The caller must learn at once that it is too late,
-/// and when to come back; one upstream below the limit is found, however few are sampled.
+/// All upstreams have seconds of work queued. The caller must learn at once that its request would
+/// be late, and when to retry. A single upstream below the limit must be found, however few are
+/// sampled.
 #[test]
 fn overload_is_refused_at_once_with_a_time_to_come_back() {
     let mut router = router(&document(&[30, 0, 0]));
     let (target, residency) = (model(), regions(&["armor"]));
     for n in 0..30 {
-        router.report(ms(1), &format!("armor-{n}"), report(8_000));
+        router.record_load_report(ms(1), &format!("armor-{n}"), report(8_000));
     }
     let refusal = router
         .route(ms(1), &query(&target, &residency))
@@ -221,7 +223,7 @@
         ms(2_500) < retry_after && retry_after < ms(4_000),
         "{retry_after:?}"
     );
-    router.report(ms(2), "armor-17", report(1_000));
+    router.record_load_report(ms(2), "armor-17", report(1_000));
     let route = router
         .route(ms(2), &query(&target, &residency))
         .expect("found");
@@ -231,9 +233,9 @@
     assert!(router.route(ms(2), &hurried).is_err(), "1 s before 500 ms");
 }
 
-/// Two workspaces send the same prompt prefix. The one that sent it first finds it cached again;
-/// the other must not be routed by it, or its time to first token would tell what the first sent.
-/// A gap in the cache events drops the affinity and no request.
+/// Two workspaces send the same prompt prefix. The first one finds it cached again. The other must
+/// not be routed by it, or its time to first token would reveal what the first one sent. A gap in
+/// the cache events drops the affinity but no request.
 #[test]
 fn prefix_affinity_stays_in_its_workspace_and_ends_with_a_gap() {
     let mut router = router(&document(&[8, 0, 0]));
@@ -256,29 +258,30 @@
         prefix_key: 1,
         sequence: 9,
     };
-    router.cache_event(&first.upstream, gap);
+    router.handle_cache_event(&first.upstream, gap);
     let route = router.route(ms(3), &query).expect("idle");
     assert_ne!(route.reason, RouteReason::Affinity);
 }
 
-/// Nine VMs stand before ten engines of eight places. If each let through all that the engines
-/// hold, the fair queues would never fill, and a burst would wait at the engines before the others.
+/// Nine VMs share ten engines with eight slots each. If each VM let through as many requests as all
+/// engines hold, the fair queues would never fill, and a burst would wait at the engines ahead of
+/// the other workspaces.
 #[test]
 fn a_vm_takes_its_share_of_the_batches() {
     let mut router = router(&document(&[10, 0, 0]));
     assert_eq!(
-        router.slots(ms(0), &model()),
+        router.dispatch_slots(ms(0), &model()),
         100,
         "alone, with a quarter more"
     );
     for n in 0..10 {
         let id = format!("armor-{n}");
-        router.started(ms(1), &id, 300);
+        router.record_dispatch(ms(1), &id, 300);
         let running = LoadReport {
             running: 9,
             ..report(0)
         };
-        router.report(ms(2), &id, running);
+        router.record_load_report(ms(2), &id, running);
     }
-    assert_eq!(router.slots(ms(2), &model()), 12);
+    assert_eq!(router.dispatch_slots(ms(2), &model()), 12);
 }
--- a/crates/ebonystand/tests/integration/routes.rs
+++ b/crates/ebonystand/tests/integration/routes.rs
@@ -8,7 +8,7 @@
         vm::Vm,
     },
     ebonystand_core::{
-        CallKind, Change, ColdTerms, EngineTerms, GatewayRoute, GatewayService, GatewayWorkspace,
+        CallKind, Change, ColdTerms, EngineSpec, GatewayRoute, GatewayService, GatewayWorkspace,
         KeyHash, Quota, QuotaUnit, Region, Routing, Service, SplitPart, Upstream, UpstreamKind,
     },
     rstest::rstest,
@@ -110,7 +110,7 @@
     let workspace = GatewayWorkspace {
         call_tokens: 1,
         homes: BTreeSet::new(),
-        keys: vec![KeyHash::of(KEY)],
+        keys: vec![KeyHash::from_secret(KEY)],
         name: "akademi".into(),
         quota: Some(Quota {
             burst: 1_000_000,
@@ -618,7 +618,7 @@
     let setting = Setting::new(vec![("a", vec![here.clone()]), ("b", vec![away.clone()])]);
     let fleet = setting.start().await;
     let mut routing = routing(1);
-    routing.services[0].engine = Some(EngineTerms {
+    routing.services[0].engine = Some(EngineSpec {
         cache_tokens: 400_000,
         event_tokens: 0,
         link_mbps: 400_000,
