--- a/crates/ebonystand/src/gateway/admitted.rs
+++ b/crates/ebonystand/src/gateway/admitted.rs
@@ -9,12 +9,12 @@
     serve_call::{UNCONFIRMED_RETRY, unconfirmed},
 };
 
-/// A request that passed the filters.
+/// A request that has been routed, authorized and admitted to its workspace's quota.
 pub(crate) struct Admitted {
     pub(crate) call: Call,
     pub(crate) in_flight: InFlight,
     pub(crate) key: Option<KeyHash>,
-    /// No upstream can have run it so far.
+    /// Whether no upstream can have run the request so far.
     pub(crate) not_run: bool,
     pub(crate) reserved: Option<Reserved>,
     pub(crate) route: GatewayRoute,
@@ -142,8 +142,9 @@
         }
     }
 
-    /// Makes the answer of what an upstream sends: a stream as it comes, anything else once it is
-    /// whole, since an idempotent call whose answer breaks off can still be tried elsewhere.
+    /// Converts an upstream's answer into the response to the caller. A stream is passed on as it
+    /// arrives. Any other answer is buffered whole first, so that an idempotent call can be retried
+    /// elsewhere if its answer breaks off.
     async fn answer(
         mut self,
         node: &Rc<Node>,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Looks at the key again: it may have been taken away while the request waited.
+    /// Validates the API key again, because it may have been revoked while the request waited.
     fn check_key(&self, node: &Node) -> Result<(), Refusal> {
         if self.route.public {
             return Ok(());
@@ -187,8 +188,9 @@
         ))
     }
 
-    /// When a caller for whom there is no room is asked to come back: once what is ahead of it is
-    /// done, and not all at once.
+    /// Delay after which a caller refused for lack of room is asked to retry: the predicted wait,
+    /// at most the first-byte target, plus a random part of the target so that callers don't return
+    /// all at once.
     fn come_back_after(&self, node: &Node, predicted: Duration) -> Duration {
         let spread = node.gateway.draw() % 1_000;
         let spread = self.call.aim * u32::try_from(spread).unwrap_or_default() / 1_000;
@@ -201,7 +203,8 @@
         }
     }
 
-    /// Decides what follows an attempt that gave the caller nothing; `Ok(None)` for another try.
+    /// Decides what follows an attempt that sent nothing to the caller. `Ok(None)` means that the
+    /// request is tried again.
     fn next(
         &mut self,
         node: &Node,
@@ -242,7 +245,7 @@
         Err(refusal.with_retry_after(delay))
     }
 
-    /// A refusal that says whether the request can have run.
+    /// Builds a refusal that states whether an upstream may have run the request.
     fn refusal(&self, code: RefusalCode, message: &str) -> Refusal {
         self.refused(Refusal::not_run(code, message))
     }
@@ -257,8 +260,9 @@
         refusal
     }
 
-    /// Time to wait for the first bytes. Where the request can be tried once more, half of what is
-    /// left: a silent upstream then costs half of the time and not the answer.
+    /// Time to wait for the first bytes of an answer. If the request can be retried, this is half
+    /// of the remaining time, but not less than the first-byte target, so that a silent upstream
+    /// costs half of the time instead of the answer.
     fn wait(&self, left: Duration) -> Duration {
         let has_tries = self.route.is_repeatable() && self.tried + 1 < self.route.attempts;
         match has_tries {
--- a/crates/ebonystand/src/gateway/answer_marks.rs
+++ b/crates/ebonystand/src/gateway/answer_marks.rs
@@ -1,14 +1,15 @@
 use ebonystand_core::ReportedSlots;
 
-/// What the head of an upstream's answer says beside the answer itself.
+/// Metadata that the headers and status of an upstream's answer carry about the request and the
+/// server.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AnswerMarks {
-    /// The server at the address is not the one that was asked for.
+    /// Whether the server at the address is another instance than the one the request was sent to.
     pub is_stranger: bool,
-    /// The upstream promises that the request has not run and never will.
+    /// Whether the upstream guarantees that the request has not run and never will.
     pub not_run: bool,
-    /// Name of the request that it answers, if it says so.
+    /// Identifier of the request that the upstream answers, if the answer states one.
     pub request: Option<Box<str>>,
-    /// Its load, if it says so.
+    /// Slots that the upstream reports as its load, if the answer states them.
     pub slots: Option<ReportedSlots>,
 }
--- a/crates/ebonystand/src/gateway/attempt.rs
+++ b/crates/ebonystand/src/gateway/attempt.rs
@@ -4,19 +4,21 @@
     std::collections::BTreeSet,
 };
 
-/// One request on its way to one upstream, as the book of upstreams counts it. Dropped before it
-/// ended, it counts as cancelled.
+/// One request in flight at one upstream, counted in the
+/// [`UpstreamBook`](ebonystand_core::UpstreamBook). An attempt that is dropped before it ends
+/// counts as cancelled.
 pub(crate) struct Attempt {
     aim: Duration,
     ended: bool,
     first_byte: Option<Duration>,
-    /// When the last event of a stream came, if it is one.
+    /// Time of the latest event of a streamed answer; `None` before the first event and for other
+    /// answers.
     last_event: Option<Duration>,
-    /// Regions that may keep the prompt; `None` if all may.
+    /// Regions where the prompt may be cached; `None` if it may be cached in all.
     homes: Option<BTreeSet<RegionId>>,
     instance: UpstreamId,
     node: Rc<Node>,
-    /// What the upstream keeps of the prompt once it has begun the answer.
+    /// Prefixes of the prompt that the upstream has cached once its answer has begun.
     prefixes: Vec<SharedPrefix>,
     started: Duration,
     unread: Tokens,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Notes that the first byte of the answer came.
+    /// Records the arrival of the first byte of the answer.
     pub(crate) fn begun(&mut self) {
         if self.first_byte.is_none() {
             let waited = self.node.clock.now().saturating_sub(self.started);
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Notes that events of a stream came.
+    /// Records the arrival of one or more events of a streamed answer.
     pub(crate) fn event(&mut self) {
         let now = self.node.clock.now();
         if let Some(last) = self.last_event.replace(now) {
@@ -76,7 +78,7 @@
         self.close(end);
     }
 
-    /// Time from its start to the first byte of the answer.
+    /// Time from the start of the attempt to the first byte of the answer; `None` before that byte.
     pub(crate) fn first_byte(&self) -> Option<Duration> {
         self.first_byte
     }
--- a/crates/ebonystand/src/gateway/call.rs
+++ b/crates/ebonystand/src/gateway/call.rs
@@ -8,26 +8,26 @@
     turns::Turns,
 };
 
-/// A request that may be sent: to an upstream of the own region, or to a VM of another one.
+/// A request that can be sent to an upstream of this region or forwarded to a VM of another region.
 pub(crate) struct Call {
-    /// When it had passed the filters; from then on it waits for room.
+    /// Time at which the request was admitted; its wait for room counts from here.
     pub(crate) admitted: Duration,
-    /// Time to the first byte that is aimed at.
+    /// Target for the time to the first byte.
     pub(crate) aim: Duration,
-    /// When it came.
+    /// Time at which the request arrived.
     pub(crate) arrived: Duration,
     pub(crate) body: Bytes,
-    /// When its final answer is due.
+    /// Time by which the whole answer is due.
     pub(crate) end: Duration,
-    /// Upstreams that must not get it.
+    /// Upstreams that must not receive the request, because an attempt there has already ended.
     pub(crate) excluded: Vec<UpstreamId>,
-    /// Regions that had no room for it.
+    /// Regions that refused the request or could not be reached.
     pub(crate) full_regions: BTreeSet<RegionId>,
     pub(crate) headers: HeaderMap,
-    /// Regions that may serve it; `None` if all may.
+    /// Regions that may serve the request; `None` if all may.
     pub(crate) homes: Option<BTreeSet<RegionId>>,
     pub(crate) method: Method,
-    /// Path and query, as they came.
+    /// Path and query of the request, unchanged.
     pub(crate) path: Box<str>,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) rank: u8,
@@ -36,31 +36,32 @@
     pub(crate) workspace: Option<WorkspaceId>,
 }
 
-/// An upstream of the own region that a call is sent to.
+/// An upstream of this region that a call is sent to.
 pub(crate) struct Destination {
     pub(crate) address: SocketAddr,
-    /// Engine from which it imports what it lacks of the prompt.
+    /// Engine from which the upstream imports the parts of the prompt that are missing from its
+    /// cache.
     pub(crate) import: Option<CacheSource>,
     pub(crate) instance: UpstreamId,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the upstream is expected to process because they are not cached.
     pub(crate) unread: Tokens,
 }
 
-/// What became of sending a call once.
+/// Result of sending a call once.
 pub(crate) enum Outcome {
-    /// An answer for the caller has begun.
+    /// The upstream has begun an answer that can be passed to the caller.
     Answered(Box<Answered>),
-    /// There is none.
+    /// The attempt has ended without an answer that can be passed on directly.
     Ended {
-        /// The upstream's own failure, for the caller if nobody else can serve it.
+        /// Error response of the upstream, which the caller gets if the request is not retried.
         answer: Option<Response<BoxBody>>,
         end: AttemptEnd,
-        /// When the upstream or the VM says that coming back makes sense.
+        /// Delay after which the upstream or the other VM asks for a retry.
         retry_after: Option<Duration>,
     },
 }
 
-/// An answer whose head and first bytes have come.
+/// An answer whose head and first body bytes have arrived.
 pub(crate) struct Answered {
     pub(crate) headers: HeaderMap,
     pub(crate) relay: Relay,
@@ -78,15 +79,16 @@
 }
 
 impl Call {
-    /// Part of its aim, in permille, for which a request waits for room.
+    /// Share of the first-byte target, in permille, for which a request waits for room.
     const PATIENCE_PERMILLE: u32 = 250;
-    /// Largest failure of an upstream that is kept for the caller, in bytes.
+    /// Largest body of an upstream's error response that is kept for the caller, in bytes.
     const LARGEST_FAILURE: usize = 64 << 10;
-    /// Longest time for the rest of an answer that is thrown away.
+    /// Longest time to read the body of an upstream's error response.
     const REST: Duration = Duration::from_millis(200);
 
-    /// Waits until an upstream has room; whether one may have. A request that would begin too late
-    /// for its aim is given up early, while its caller has time to come back.
+    /// Waits until an upstream may have room. Returns false if the wait is over before that. A
+    /// request that would start too late for its first-byte target is refused early, while its
+    /// caller still has time to retry.
     pub(crate) async fn wait_for_room(&self, node: &Rc<Node>) -> bool {
         let since = node.clock.now().saturating_sub(self.admitted);
         let patience = (self.aim * Self::PATIENCE_PERMILLE / 1_000).saturating_sub(since);
@@ -103,7 +105,7 @@
         self.end.saturating_sub(node.clock.now())
     }
 
-    /// Chooses where it goes.
+    /// Chooses the upstream or the region that the call is sent to.
     pub(crate) fn choose(&self, node: &Node, reachable: &BTreeSet<RegionId>) -> TargetChoice {
         let now = node.clock.now();
         let document = node.document();
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Regions that may serve it, for a log line; none where those of its route and of its workspace have
-    /// none in common.
+    /// Formats the regions that may serve the call, for messages. The list is empty ("no region")
+    /// if the route's regions and the workspace's have none in common.
     pub(crate) fn homes_text(&self) -> Box<str> {
         let Some(homes) = &self.homes else {
             return "any region".into();
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Sends it to an upstream of the own region and waits `wait` for the first bytes.
+    /// Sends the call to an upstream of this region and waits up to `wait` for the first bytes of
+    /// the answer.
     pub(crate) async fn send_here(
         &self,
         node: &Rc<Node>,
@@ -208,7 +211,7 @@
         Outcome::Answered(Box::new(relay.answered(Some(attempt))))
     }
 
-    /// Sends a request over a connection and waits `wait` for the head of its answer.
+    /// Sends the call over a connection and waits up to `wait` for the head of the answer.
     pub(crate) async fn exchange(
         &self,
         node: &Rc<Node>,
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Reads what an upstream says of a failure, so that it can be passed on.
+    /// Reads an upstream's error response so that it can be passed on to the caller.
     async fn failed(
         &self,
         node: &Rc<Node>,
@@ -274,13 +277,15 @@
         }
     }
 
-    /// How the attempt ends by the head of its answer; `None` if this is one for the caller.
+    /// Determines from the head of an answer how the attempt ends; `None` if the answer is for the
+    /// caller.
     fn judge(&self, head: &actix_http::ResponseHead, marks: &AnswerMarks) -> Option<AttemptEnd> {
         let is_other = marks
             .request
             .as_ref()
             .is_some_and(|request| *request != self.request);
-        // A late or second answer to an earlier request, or one that was spoiled on its way.
+        // This is a late or repeated answer to an earlier request, or one that was altered on the
+        // way.
         if is_other || head.headers.contains_key("content-encoding") {
             return Some(AttemptEnd::Lost);
         }
@@ -297,14 +302,14 @@
     }
 }
 
-/// An answer whose body is at hand, with the upstream's headers.
+/// Builds a response from a buffered body and the upstream's end-to-end headers.
 pub(crate) fn whole(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<BoxBody> {
     let mut response = Response::new(status).set_body(body).map_into_boxed_body();
     *response.headers_mut() = headers::passed_on(headers, &[]);
     response
 }
 
-/// When an answer says that coming back makes sense.
+/// Parses the delay of a `retry-after` header, in seconds and fractions of a second.
 pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers::text(headers, "retry-after")?;
     let seconds = text.parse::<f64>().ok()?;
--- a/crates/ebonystand/src/gateway/call_head.rs
+++ b/crates/ebonystand/src/gateway/call_head.rs
@@ -1,20 +1,20 @@
 use super::*;
 use ebonystand_core::Prompt;
 
-/// Head of a request, decoded.
+/// Decoded head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// Time that the caller will wait, if it says so.
+    /// Time that the caller is willing to wait for the whole answer, if the request states one.
     pub deadline: Option<Duration>,
-    /// What goes on to the upstream: neither what concerns one connection only, nor the key, nor
-    /// what the gateway itself says to upstreams.
+    /// Headers to send to the upstream, without hop-by-hop headers, the API key and the headers
+    /// that the gateway sets itself.
     pub headers: HeaderMap,
-    /// Host that the caller names.
+    /// Host that the request names.
     pub host: Box<str>,
-    /// Hash of the key's secret.
+    /// Hash of the secret of the API key, if the request has one.
     pub key: Option<KeyHash>,
-    /// What the request says of its prompt.
+    /// Description of the prompt, if the request has one.
     pub prompt: Option<Prompt>,
-    /// Name of the request.
+    /// Identifier of the request.
     pub request: Box<str>,
 }
--- a/crates/ebonystand/src/gateway/connection.rs
+++ b/crates/ebonystand/src/gateway/connection.rs
@@ -12,18 +12,18 @@
     tokio_util::codec::{Decoder, Encoder},
 };
 
-/// Connection to an upstream or another VM that carries one request at a time.
+/// HTTP/1.1 connection to an upstream or another VM that carries one request at a time.
 ///
-/// The library's client takes the end of a connection for the end of an answer. Here an answer is
-/// whole only if its framing says so; any other end is a fault, and no connection in doubt is used
-/// again.
+/// The HTTP library's client treats the end of the connection as the end of the body. This type
+/// accepts a body as whole only if its framing says so. Any other end is a fault, and a connection
+/// whose state is in doubt is not reused.
 #[derive(Debug)]
 pub struct Connection {
     buf: BytesMut,
     io: TcpStream,
 }
 
-/// A connection whose answer has begun.
+/// Reads the body of an answer whose head has arrived.
 pub struct Answering {
     connection: Connection,
     framing: Framing,
@@ -38,40 +38,40 @@
     UntilClose,
 }
 
-/// Why an answer is not whole.
+/// Reason why no whole answer was read from a connection.
 #[derive(Debug, Snafu)]
 #[snafu(context(suffix(false)))]
 pub enum ConnectionFault {
-    /// The other end closed or reset the connection.
-    #[snafu(display("the connection broke: {source}"))]
+    /// Reading or writing failed, for example because the peer reset the connection.
+    #[snafu(display("the connection failed: {source}"))]
     Broken {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// No connection could be opened; nothing was sent.
-    #[snafu(display("no connection: {source}"))]
+    /// The connection could not be opened, so nothing was sent.
+    #[snafu(display("the connection could not be opened: {source}"))]
     Connect {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The answer is larger than is taken.
-    #[snafu(display("the answer has more than {limit} bytes"))]
+    /// The head or body of the answer is larger than its limit.
+    #[snafu(display("the answer exceeds its limit of {limit} bytes"))]
     Large {
-        /// Most bytes that are taken.
+        /// Limit of the head or body, in bytes.
         limit: usize,
     },
-    /// What came is no answer.
-    #[snafu(display("what came is no answer: {reason}"))]
+    /// The received bytes are not a valid HTTP answer.
+    #[snafu(display("the answer is not valid HTTP: {reason}"))]
     Malformed {
-        /// What the parser says.
+        /// Error message of the parser.
         reason: Box<str>,
     },
-    /// The connection ended before the answer did.
+    /// The connection was closed before the end of the answer.
     #[snafu(display("the answer is cut off"))]
     Truncated,
 }
 
-/// Head of a request to send. The path goes out as it came in.
+/// Builds the head of a request. The path is sent unchanged.
 pub(crate) fn head(method: Method, path: &str, headers: HeaderMap) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = method;
@@ -82,21 +82,21 @@
 
 impl Connection {
     const FIRST_READ: usize = 4 << 10;
-    /// Longest head of an answer in bytes.
+    /// Largest head of an answer, in bytes.
     const LONGEST_HEAD: usize = 64 << 10;
 
-    /// Opens a connection.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
-    /// [`ConnectionFault::Connect`].
+    /// [`ConnectionFault::Connect`] if the connection cannot be opened in time.
     pub(crate) async fn open(address: SocketAddr) -> Result<Self, ConnectionFault> {
-        /// Longest wait: a round trip between regions and one lost packet.
+        /// Longest time to open a connection: one round trip between regions and one lost packet.
         const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
         let connect = TcpStream::connect(address);
         let connected = actix_rt::time::timeout(CONNECT_TIMEOUT, connect).await;
         let connected = connected.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
         let io = connected.map_err(|source| ConnectionFault::Connect { source })?;
-        // A delayed small write would hold a request back for the peer's acknowledgement.
+        // Nagle's algorithm would delay a small request until the peer acknowledges earlier data.
         io.set_nodelay(true)
             .map_err(|source| ConnectionFault::Connect { source })?;
         Ok(Self {
@@ -105,19 +105,22 @@
         })
     }
 
-    /// Whether nothing has come over it since its last answer. What has is a late or second answer,
-    /// or the end: whatever follows could be taken for the answer to the next request.
+    /// Whether the connection is open and has received nothing since its last answer. Anything
+    /// received would be a late or repeated answer, or the end of the connection; data that follows
+    /// could be mistaken for the answer to the next request.
     pub(crate) fn is_clean(&self) -> bool {
-        // The runtime's own reading would go by what it was told last, and miss what has just come.
+        // A read through the runtime depends on the readiness it saw last, and misses data that has
+        // just arrived.
         let peeked = recv(&self.io, &mut [0; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT);
         self.buf.is_empty() && peeked.is_err_and(|error| error == Errno::WOULDBLOCK)
     }
 
-    /// Sends a request and waits for the head of its answer. An answer may come before the request
-    /// is sent whole; the connection then ends with it.
+    /// Sends a request and waits for the head of the answer. If the answer arrives before the whole
+    /// request is sent, the connection is not reused.
     ///
     /// # Errors
-    /// Any fault but [`ConnectionFault::Connect`]; the request may have run.
+    /// Any [`ConnectionFault`] except [`ConnectionFault::Connect`]. The server may have run the
+    /// request.
     pub(crate) async fn request(
         mut self,
         head: RequestHead,
@@ -181,7 +184,7 @@
         match codec.message_type() {
             MessageType::Payload => Framing::Coded(codec.into_payload_codec()),
             _ if !has_body => Framing::Ended,
-            // The parser takes an answer without a length for one without a body.
+            // The parser treats an answer without a length as one without a body.
             _ if Self::has_length(head) => Framing::Ended,
             _ => Framing::UntilClose,
         }
@@ -215,23 +218,23 @@
 }
 
 impl Answering {
-    /// Head of the answer.
+    /// Returns the head of the answer.
     pub(crate) fn head(&self) -> &ResponseHead {
         &self.head
     }
 
-    /// The connection, if it may carry another request: the answer is whole, nothing follows it,
-    /// and both ends want to go on.
+    /// Returns the connection if it can carry another request: the answer is complete, no bytes
+    /// follow it, and both ends keep the connection alive.
     pub(crate) fn into_connection(self) -> Option<Connection> {
         let is_ended = matches!(self.framing, Framing::Ended);
         let is_sound = is_ended && self.keep_alive && self.sent_whole;
         (is_sound && self.connection.buf.is_empty()).then_some(self.connection)
     }
 
-    /// The next bytes of the body; `None` at its end.
+    /// Reads the next bytes of the body; `None` at its end.
     ///
     /// # Errors
-    /// Any fault but [`ConnectionFault::Connect`].
+    /// Any [`ConnectionFault`] except [`ConnectionFault::Connect`].
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, ConnectionFault> {
         loop {
             if let Some(next) = self.decode()? {
@@ -254,10 +257,11 @@
         }
     }
 
-    /// The whole body.
+    /// Reads the rest of the body, up to `limit` bytes.
     ///
     /// # Errors
-    /// Any fault but [`ConnectionFault::Connect`].
+    /// [`ConnectionFault::Large`] beyond the limit, or any other [`ConnectionFault`] except
+    /// [`ConnectionFault::Connect`].
     pub(crate) async fn read_whole(&mut self, limit: usize) -> Result<Bytes, ConnectionFault> {
         let mut whole = BytesMut::new();
         while let Some(chunk) = self.next().await? {
@@ -269,7 +273,8 @@
         Ok(whole.freeze())
     }
 
-    /// What can be told without reading; the outer `None` if more bytes are needed.
+    /// Decodes the next bytes of the body from the buffer. The outer `None` means that more bytes
+    /// must be read; the inner one is the end of the body.
     fn decode(&mut self) -> Result<Option<Option<Bytes>>, ConnectionFault> {
         let buf = &mut self.connection.buf;
         match &mut self.framing {
--- a/crates/ebonystand/src/gateway/connection_pool.rs
+++ b/crates/ebonystand/src/gateway/connection_pool.rs
@@ -2,15 +2,15 @@
 
 /// Idle connections to upstreams and other VMs.
 ///
-/// A link that was down can leave every idle connection over it silent for good, while new ones
-/// work. So one timeout gives up all that were idle to that address.
+/// An outage of a link can leave every idle connection over it silent for good while new ones work.
+/// One timeout therefore closes all idle connections to that address.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<FxHashMap<Peer, Vec<Idle>>>,
 }
 
-/// An address and the start of the server there: a later server at the same address must not get a
-/// request that was meant for the earlier one.
+/// Address of a server and identifier of its instance. A later server at the same address must not
+/// receive a request meant for the earlier one.
 type Peer = (SocketAddr, Box<str>);
 
 #[derive(Debug)]
@@ -20,21 +20,22 @@
 }
 
 impl ConnectionPool {
-    /// Idle connections to one server.
+    /// Largest number of idle connections to one server.
     const PER_PEER: usize = 32;
-    /// Idle time after which a connection is closed where the server states none. Short against
-    /// the silence of a lost flow, long against the time between two requests.
+    /// Longest idle time of a connection, also if the server allows more. It is short compared with
+    /// the time for which a broken network path stays unnoticed, and long compared with the time
+    /// between two requests.
     const IDLE: Duration = Duration::from_secs(4);
-    /// Time before the server's own limit at which a connection is not used any more: a request
-    /// that crosses the server's close could have been read or not.
+    /// Time before the server's idle timeout at which a connection is no longer used. If a request
+    /// crosses the server's close on the way, it is unknown whether the server read it.
     const MARGIN: Duration = Duration::from_millis(1_000);
 
-    /// Gives up the idle connections to an address.
+    /// Closes all idle connections to an address.
     pub(crate) fn give_up(&self, address: SocketAddr) {
         self.idle.borrow_mut().retain(|peer, _| peer.0 != address);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle too long or can't be reused.
     pub(crate) fn prune(&self, now: Duration) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|idle| now < idle.until && idle.connection.is_clean());
@@ -42,7 +43,7 @@
         });
     }
 
-    /// Keeps the connection of a whole answer, if it may be used again.
+    /// Returns the connection of a finished answer to the pool if it can be reused.
     pub(crate) fn put(
         &self,
         now: Duration,
@@ -63,10 +64,10 @@
         }
     }
 
-    /// An idle connection, the one used last, or a new one.
+    /// Takes the most recently used idle connection to a server, or opens a new one.
     ///
     /// # Errors
-    /// [`ConnectionFault::Connect`].
+    /// [`ConnectionFault::Connect`] if a new connection cannot be opened.
     pub(crate) async fn take(
         &self,
         now: Duration,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Idle time that the server allows, of its `keep-alive` header.
+/// Parses the idle timeout that the server states in its `keep-alive` header.
 fn stated_idle(headers: &HeaderMap) -> Option<Duration> {
     let text = headers::text(headers, "keep-alive")?;
     let seconds = text.split(',').find_map(|part| {
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -15,12 +15,13 @@
     turns::Turns,
 };
 
-/// Holds what serving by routes goes by, and keeps it up to date.
+/// State that requests are routed by, and the tasks that keep it up to date.
 pub(crate) struct GatewayController {
     pub(crate) book: RefCell<UpstreamBook>,
     confirmation: RefCell<Confirmation>,
     pub(crate) dialect: Rc<dyn Dialect>,
-    /// Whether a program embeds the daemon and has all callers served by routes.
+    /// Whether a program embeds the daemon with a dialect of its own, so that all callers are
+    /// served by routes.
     pub(crate) embedded: bool,
     evacuated: RefCell<BTreeSet<ZoneId>>,
     forwarders: RefCell<Rc<Forwarders>>,
@@ -28,32 +29,33 @@
     leader_changed: tokio::sync::Notify,
     pub(crate) list: ListController,
     pub(crate) pool: ConnectionPool,
-    /// By service: those of one must not be paid by the requests of another.
+    /// Retry budgets by service, so that the requests of one service don't pay for the retries of
+    /// another.
     retries: RefCell<FxHashMap<Box<str>, RetryBudget>>,
     rng: RefCell<Pcg64Mcg>,
     suspects: RefCell<FxHashMap<VmId, Duration>>,
     table: RefCell<Rc<RouteTable>>,
     pub(crate) turns: Turns,
-    /// A preset with the share of retries of the settings.
+    /// Preset with the retry ratio of the settings.
     preset: Preset,
     needs_confirmation: bool,
 }
 
 impl GatewayController {
-    /// Time between two questions whether the configuration is the newest. After two without an
-    /// answer all VMs with a log are asked, so that a new leader is found within a second of its
-    /// election.
+    /// Time between two requests for confirmation that the configuration is the newest. After two
+    /// of them without an answer, all VMs with a log are asked, so that a new leader is found
+    /// within a second of its election.
     const CONFIRM_EVERY: Duration = Duration::from_millis(500);
-    /// Time between two tellings of this region's load to VMs of other regions.
+    /// Time between two messages about this region's load to VMs of other regions.
     const PRESSURE_EVERY: Duration = Duration::from_millis(250);
-    /// Relays of other regions that are told each time.
+    /// Number of relays in other regions that get each message about this region's load.
     const PRESSURE_FAN_OUT: usize = 6;
-    /// Part of the share of retries that VMs take. The rest is for the retries that each VM may make
-    /// however few requests it has.
+    /// Part of the configured retry ratio that VMs use, in permille. The rest covers the minimum of
+    /// retries that each VM may make however few requests it has.
     const RETRIES_PERMILLE: u64 = 850;
-    /// VMs that a new leader tells of itself.
+    /// Largest number of VMs that a new leader notifies of its election.
     const TOLD_OF_LEADER: usize = 256;
-    /// A VM that did not answer a forwarded request gets no other one for so long.
+    /// Time for which a VM gets no forwarded requests after it left one unanswered.
     const SUSPECT_FOR: Duration = Duration::from_secs(2);
 
     pub(crate) fn new(
@@ -75,7 +77,7 @@
         if !gateway.without.is_empty() {
             let without = gateway.without.iter().map(ToString::to_string);
             let without = without.collect::<Vec<_>>().join(" ");
-            log::warn!(without:% = without; "mechanisms are left out for an experiment");
+            log::warn!(without:% = without; "mechanisms are disabled for an experiment");
         }
         Self {
             book: RefCell::new(book.with_disabled_mechanisms(gateway.without.clone())),
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes over a configuration.
+    /// Applies a new configuration.
     pub(crate) fn configure(&self, now: Duration, document: &Document) {
         let evacuated = std::mem::replace(
             &mut *self.evacuated.borrow_mut(),
@@ -121,12 +123,14 @@
         );
     }
 
-    /// Whether the copy of the configuration is confirmed to be the newest.
+    /// Whether this VM's copy of the configuration is confirmed to be the newest, or needs no
+    /// confirmation.
     pub(crate) fn confirmed(&self, now: Duration) -> bool {
         !self.needs_confirmation || self.confirmation.borrow().is_valid(now)
     }
 
-    /// Takes an answer to a question whether the configuration is the newest.
+    /// Handles an answer to a request for confirmation, sent at `asked`. Only an answer of the
+    /// leader counts.
     pub(crate) fn confirm(
         &self,
         node: &Rc<Node>,
@@ -152,17 +156,19 @@
         }
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub(crate) fn draw(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
-    /// A factor that spreads what VMs that started together would otherwise do together for ever.
+    /// Returns a random factor near 1 for periodic delays, so that VMs that started together don't
+    /// stay in step.
     pub(crate) fn jitter(&self) -> f64 {
         self.rng.borrow_mut().random_range(0.8..1.2)
     }
 
-    /// A VM of a region that takes forwarded requests.
+    /// Picks a random VM of a region that accepts forwarded requests and has not recently left one
+    /// unanswered.
     pub(crate) fn forwarder(&self, node: &Node, region: &str) -> Option<(VmId, SocketAddr)> {
         let forwarders = self.forwarders(node);
         let sound = forwarders.of(region, |vm| self.is_sound(node.clock.now(), vm));
@@ -173,12 +179,13 @@
         Some(sound[index].clone())
     }
 
-    /// Whether there are routes to serve by.
+    /// Whether this VM has a configuration with routes.
     pub(crate) fn has_routes(&self, node: &Node) -> bool {
         node.state.ready() && self.table.borrow().routing().revision > 0
     }
 
-    /// Whether another try may be made after an attempt that ended so.
+    /// Whether an attempt that ended with `end` may be retried. A retry is taken from the service's
+    /// budget, unless the attempt cannot have reached an upstream.
     pub(crate) fn may_retry(&self, now: Duration, service: &str, end: AttemptEnd) -> bool {
         let retryable = match end.can_have_reached_upstream() {
             true => Retryable::Idempotent,
@@ -197,12 +204,12 @@
             .record_request(now);
     }
 
-    /// Whether callers may be sent here.
+    /// Whether new callers may be directed to this VM.
     pub(crate) fn ready(&self, node: &Node) -> bool {
         self.serves(node) && !node.leaving()
     }
 
-    /// Whether requests that come here are served, also while this VM is leaving.
+    /// Whether this VM serves requests that arrive, which it still does while it is leaving.
     pub(crate) fn serves(&self, node: &Node) -> bool {
         node.settings.gateway.serves_callers
             && self.has_routes(node)
@@ -212,8 +219,9 @@
             && !node.draining()
     }
 
-    /// Whether callers of either interface may be sent here. A VM without routes takes those of the
-    /// product's own; one that a program embeds serves by routes alone.
+    /// Whether callers may be directed to this VM, for routes or for the daemon's own API. A VM
+    /// without routes serves the daemon's own API, except if a program embeds the daemon: it then
+    /// serves only routes.
     fn takes_callers(&self, node: &Node) -> bool {
         if self.embedded || self.has_routes(node) {
             return self.serves(node);
@@ -221,7 +229,7 @@
         node.settings.gateway.serves_callers && node.ready() && !node.draining()
     }
 
-    /// Other regions with a VM that takes forwarded requests.
+    /// Returns the other regions that have a VM that accepts forwarded requests.
     pub(crate) fn reachable(&self, node: &Node) -> BTreeSet<RegionId> {
         let now = node.clock.now();
         let forwarders = self.forwarders(node);
@@ -232,7 +240,7 @@
         reachable.cloned().collect()
     }
 
-    /// Asks the leader again and again whether the configuration is the newest, until the task is
+    /// Asks the leader periodically whether the configuration is the newest, until the task is
     /// dropped. While no leader is known, all VMs with a log are asked.
     pub(crate) async fn run_confirm(node: Rc<Node>) {
         let this = &node.gateway;
@@ -255,7 +263,8 @@
                     }
                 }
             }
-            // A new leader is asked at once: the time for which a VM can serve without one is short.
+            // A new leader is asked at once, because a VM can serve only briefly without a
+            // confirmation.
             tokio::select! {
                 () = actix_rt::time::sleep(Self::CONFIRM_EVERY) => {}
                 () = this.leader_changed.notified() => {}
@@ -266,8 +275,8 @@
         }
     }
 
-    /// Tells other regions what requests have to expect here, if this VM relays, and all VMs whether
-    /// callers may be sent here, until the task is dropped.
+    /// Publishes the latencies that requests can expect in this region to other regions, if this VM
+    /// is a relay, and whether callers may be directed here to all VMs, until the task is dropped.
     pub(crate) async fn run_pressure(node: Rc<Node>) {
         let this = &node.gateway;
         actix_rt::spawn(Turns::run(Rc::clone(&node)));
@@ -283,7 +292,7 @@
         }
     }
 
-    /// Tells the VMs of the region again and again what this one knows of the load at upstreams, until
+    /// Sends the load of upstreams known to this VM to the VMs of the region periodically, until
     /// the task is dropped.
     pub(crate) async fn run_load(node: Rc<Node>) {
         let this = &node.gateway;
@@ -307,14 +316,14 @@
         }
     }
 
-    /// Notes that a VM does not answer.
+    /// Records that a VM left a forwarded request unanswered.
     pub(crate) fn suspect(&self, now: Duration, vm: &VmId) {
         let until = now + Self::SUSPECT_FOR;
         self.suspects.borrow_mut().insert(vm.clone(), until);
     }
 
-    /// Tells other VMs that this one leads the log from now on. Those that are not told find out by
-    /// asking; their number is bounded for the sake of large fleets.
+    /// Notifies other VMs that this one is the leader of the log. Their number is bounded for large
+    /// fleets; the rest learn it when they ask for a confirmation.
     pub(crate) fn tell_leading(node: &Rc<Node>) {
         let version = node.document().version;
         let live = node.membership.live(node.clock.now());
@@ -331,12 +340,12 @@
         }
     }
 
-    /// Routes, services and workspaces in force.
+    /// Returns the routes, services and workspaces in force.
     pub(crate) fn table(&self) -> Rc<RouteTable> {
         Rc::clone(&self.table.borrow())
     }
 
-    /// Whether a VM has not lately left a forwarded request without an answer.
+    /// Whether a VM has left no forwarded request unanswered recently.
     fn is_sound(&self, now: Duration, vm: &VmId) -> bool {
         let suspects = self.suspects.borrow();
         suspects.get(vm).is_none_or(|until| now >= *until)
@@ -352,7 +361,8 @@
         node.send(vm, PeerMessage::Confirm { asked_us });
     }
 
-    /// VMs of other regions that take forwarded requests, kept until the live VMs change.
+    /// Returns the VMs of other regions that accept forwarded requests, cached until the set of
+    /// live VMs changes.
     fn forwarders(&self, node: &Node) -> Rc<Forwarders> {
         let live = node.membership.live(node.clock.now());
         let mut known = self.forwarders.borrow_mut();
@@ -362,7 +372,8 @@
         Rc::clone(&known)
     }
 
-    /// Tells one relay of each other region what engines keep; it tells the others there.
+    /// Sends the prefixes cached by engines to one relay of each other region, which passes them on
+    /// there.
     fn tell_cached_away(node: &Rc<Node>) {
         let this = &node.gateway;
         let cached = this.book.borrow_mut().take_caches_for_regions();
@@ -375,7 +386,7 @@
         }
     }
 
-    /// Relays of each other region that has some.
+    /// Returns the relays of each other region that has any.
     fn relays_away(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
         let live = node.membership.live(node.clock.now());
         let others = live.iter().filter(|entry| entry.record.takes_callers);
@@ -437,10 +448,12 @@
     }
 }
 
-/// The VM of an entry, if it stands in `region` and serves requests.
+/// Returns the VM of a membership entry if it is in `region` and serves callers or forwarded
+/// requests.
 ///
-/// Those that do not take callers yet may the next moment: of VMs that start together each would otherwise
-/// hold itself for alone, and send a cold upstream all that it bears.
+/// VMs that accept forwarded requests count even before they accept callers. Otherwise each of
+/// several VMs that start together would consider itself alone and send a cold upstream the full
+/// load that it can bear.
 fn of_region(entry: &VmEntry, region: &str) -> Option<RegionVm> {
     let record = &entry.record;
     let serves = record.takes_callers || record.forwards.is_some();
--- a/crates/ebonystand/src/gateway/dialect.rs
+++ b/crates/ebonystand/src/gateway/dialect.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Names on the wire, towards callers and upstreams.
+/// Encoding of the gateway's metadata in the HTTP messages of callers and upstreams.
 pub trait Dialect {
-    /// Decodes what an upstream's answer says beside the answer.
+    /// Decodes the metadata in the head of an upstream's answer.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMarks;
 
-    /// Decodes the head of a request.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
-    /// A refusal if it is malformed.
+    /// A refusal if the head is malformed.
     fn read(&self, req: &Request) -> Result<CallHead, Refusal>;
 
-    /// Adds to the headers of a request what the gateway says to its upstream.
+    /// Adds the gateway's metadata to the headers of a request to an upstream.
     fn write(&self, call: &OutgoingCall, headers: &mut HeaderMap);
 }
--- a/crates/ebonystand/src/gateway/extension.rs
+++ b/crates/ebonystand/src/gateway/extension.rs
@@ -1,27 +1,28 @@
 use super::*;
 use futures_util::future::LocalBoxFuture;
 
-/// Answers requests on a [`Surface`].
+/// Handles the requests that arrive on a [`Surface`].
 pub type Handler = Rc<dyn Fn(Gateway, Request) -> LocalBoxFuture<'static, Response<BoxBody>>>;
 
-/// What a program that embeds the daemon adds to it.
+/// Additions to the daemon by a program that embeds it.
 #[derive(Default)]
 pub struct Extension {
-    /// Names on the wire for callers and upstreams; the gateway's own ones if there is none. With
-    /// one, all that callers ask for is served by routes.
+    /// Dialect of callers and upstreams; the native one if `None`. With a dialect, all requests of
+    /// callers are served by routes.
     pub dialect: Option<Rc<dyn Dialect>>,
-    /// Reads the settings again; `None` if that fails.
+    /// Reads the settings again and returns `None` if that fails; the field is `None` if there is
+    /// no such function.
     pub reload: Option<reload::Reload>,
-    /// Where the list of upstreams is read; the configuration's upstreams if there is none.
+    /// Source of the list of upstreams; the upstreams of the configuration if `None`.
     pub source: Option<Rc<dyn UpstreamSource>>,
-    /// Further addresses to listen on.
+    /// Additional addresses to listen on.
     pub surfaces: Vec<Surface>,
 }
 
-/// An address that answers HTTP requests of its own.
+/// An additional listening address with its own request handler.
 pub struct Surface {
-    /// Where to listen.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// What answers.
+    /// Function that handles each request.
     pub handler: Handler,
 }
--- a/crates/ebonystand/src/gateway/fetch.rs
+++ b/crates/ebonystand/src/gateway/fetch.rs
@@ -1,46 +1,47 @@
 use super::*;
 
-/// Reads small documents over HTTP.
+/// HTTP client for small documents such as lists of upstreams. It uses the gateway's connection
+/// pool.
 pub struct Fetch {
     pub(crate) node: Rc<Node>,
 }
 
-/// Why a document could not be had.
+/// Reason why a document could not be fetched.
 #[derive(Debug, Snafu)]
 #[snafu(context(suffix(false)), visibility(pub(crate)))]
 pub enum FetchError {
-    /// The answer is not of the expected form.
-    #[snafu(display("the answer cannot be decoded: {source}"))]
+    /// The document cannot be decoded.
+    #[snafu(display("the document cannot be decoded: {source}"))]
     Decode {
-        /// What the codec says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// The connection failed.
+    /// The connection failed before the whole answer was read.
     #[snafu(display("{fault}"))]
     Connection {
-        /// What is wrong.
+        /// Fault of the connection.
         fault: ConnectionFault,
     },
-    /// The answer is no success.
-    #[snafu(display("answered {status}"))]
+    /// The answer has another status than 200.
+    #[snafu(display("the server answered with status {status}"))]
     Status {
-        /// Its status.
+        /// HTTP status code of the answer.
         status: u16,
     },
-    /// No whole answer came in time.
-    #[snafu(display("no answer in time"))]
+    /// The whole answer did not arrive before the timeout.
+    #[snafu(display("the answer did not arrive before the timeout"))]
     Timeout,
 }
 
 impl Fetch {
     const LONGEST: usize = 8 << 20;
-    /// Longest wait for a document: several round trips between regions.
+    /// Time limit for a whole document: several round trips between regions.
     const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-    /// Reads the document at a path of the server at `address`.
+    /// Fetches the document at `path` from the server at `address`.
     ///
     /// # Errors
-    /// [`FetchError`] unless a whole answer with status 200 came in time.
+    /// [`FetchError`] unless a whole answer with status 200 arrives before the timeout.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Result<Bytes, FetchError> {
         let whole = self.get_unbounded(address, path);
         match actix_rt::time::timeout(Self::TIMEOUT, whole).await {
--- a/crates/ebonystand/src/gateway/forward.rs
+++ b/crates/ebonystand/src/gateway/forward.rs
@@ -1,5 +1,5 @@
-//! Sends a request to a VM of another region, which sends it to an upstream there. Upstreams take
-//! connections of their own region only.
+//! Forwards a request to a VM of another region, which sends it to an upstream there. Upstreams
+//! accept connections only from their own region.
 
 use super::*;
 use {
@@ -10,11 +10,12 @@
     relay::Relay,
 };
 
-/// Header with the [`Forwarded`] of a request that a VM forwards.
+/// Header of a forwarded request that carries its [`Forwarded`] metadata.
 pub(crate) const FORWARDED: &str = "x-ebonystand-forwarded";
-/// Header of the answer: how the attempt ended in the other region.
+/// Header of the answer to a forwarded request that states how the attempt in the other region
+/// ended.
 pub(crate) const ENDED: &str = "x-ebonystand-ended";
-/// The answer is the upstream's.
+/// Value of [`ENDED`] for an answer that comes from the upstream.
 pub(crate) const BY_UPSTREAM: &str = "upstream";
 const NOT_SENT: &str = "not_sent";
 const SHED: &str = "shed";
@@ -43,7 +44,7 @@
     }
 }
 
-/// Forwards a call to a VM of `region` and waits `wait` for the first bytes of the answer.
+/// Forwards a call to a VM of `region` and waits up to `wait` for the first bytes of the answer.
 pub(crate) async fn send(node: &Rc<Node>, call: &Call, region: &str, wait: Duration) -> Outcome {
     let Some((vm, address)) = node.gateway.forwarder(node, region) else {
         return Outcome::ended(AttemptEnd::Unreachable);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Takes the other VM's account of why there is no answer.
+/// Reads the other VM's report of why it has no answer from an upstream.
 async fn refused(
     node: &Rc<Node>,
     call: &Call,
@@ -108,7 +109,7 @@
     let status = answering.head().status;
     let mut headers = answering.head().headers.clone();
     headers.remove(ENDED);
-    log::warn!(request:% = call.request, vm:% = vm, end:? = end, status = status.as_u16(); "refused by the other region");
+    log::warn!(request:% = call.request, vm:% = vm, end:? = end, status = status.as_u16(); "other region has no answer to the forwarded request");
     let retry_after = call::retry_after(&headers);
     let body = actix_rt::time::timeout(REST, answering.read_whole(LARGEST)).await;
     let answer = match (body, end) {
--- a/crates/ebonystand/src/gateway/forwarders.rs
+++ b/crates/ebonystand/src/gateway/forwarders.rs
@@ -1,7 +1,7 @@
 use super::*;
 use {ebonystand_core::VmEntry, std::collections::BTreeMap};
 
-/// VMs of other regions that take forwarded requests, derived from the live VMs.
+/// VMs of other regions that accept forwarded requests, derived from the live VMs.
 pub(crate) struct Forwarders {
     live: Rc<[VmEntry]>,
     regions: BTreeMap<RegionId, OfRegion>,
@@ -9,7 +9,7 @@
 
 #[derive(Default)]
 struct OfRegion {
-    /// VMs that are about to stop and serve on.
+    /// VMs that still serve requests but will stop soon.
     leaving: Vec<(VmId, SocketAddr)>,
     staying: Vec<(VmId, SocketAddr)>,
 }
@@ -24,7 +24,7 @@
 }
 
 impl Forwarders {
-    /// Forwarders among `live`, for a VM of the region `here`.
+    /// Selects the forwarders from `live` for a VM of the region `here`.
     pub(crate) fn new(live: Rc<[VmEntry]>, here: &str) -> Self {
         let mut regions = BTreeMap::<RegionId, OfRegion>::new();
         for VmEntry { record, .. } in live.iter() {
@@ -44,12 +44,12 @@
         Self { live, regions }
     }
 
-    /// Whether these are derived from `live`.
+    /// Whether the forwarders are derived from this very `live` list.
     pub(crate) fn is_of(&self, live: &Rc<[VmEntry]>) -> bool {
         Rc::ptr_eq(&self.live, live)
     }
 
-    /// Whether a region has one that is sound.
+    /// Whether a region has a forwarder for which `is_sound` holds.
     pub(crate) fn has_any(&self, region: &str, is_sound: impl Fn(&VmId) -> bool) -> bool {
         let of_region = self.regions.get(region);
         of_region.is_some_and(|of_region| {
@@ -58,7 +58,8 @@
         })
     }
 
-    /// Those of a region that are sound: the staying ones, or the leaving ones if there is no other.
+    /// Returns the forwarders of a region for which `is_sound` holds: those that stay, or those
+    /// that are leaving if there are no others.
     pub(crate) fn of(
         &self,
         region: &str,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Regions that have one.
+    /// Returns the regions that have a forwarder, sound or not.
     pub(crate) fn regions(&self) -> impl Iterator<Item = &RegionId> {
         self.regions.keys()
     }
--- a/crates/ebonystand/src/gateway/gateway_handle.rs
+++ b/crates/ebonystand/src/gateway/gateway_handle.rs
@@ -8,18 +8,18 @@
     std::collections::BTreeSet,
 };
 
-/// The running daemon, for a program that embeds it.
+/// Handle to the running daemon for a program that embeds it.
 #[derive(Clone)]
 pub struct Gateway {
     pub(crate) node: Rc<Node>,
 }
 
 impl Gateway {
-    /// Time after the start of a process before it proposes the first configuration: by then it
-    /// has met the other VMs with a log, which are to hold parts of the allowances.
+    /// Time after the start of the process before it proposes the first configuration. By then it
+    /// has discovered the other VMs with a log, which are to hold shares of the allowances.
     const SETTLE: Duration = Duration::from_secs(2);
 
-    /// Addresses of VMs that a caller at `caller` may connect to for a host.
+    /// Returns the addresses of VMs that a caller at `caller` may connect to for a host.
     #[must_use]
     pub fn entries(&self, host: &str, caller: &Place) -> Vec<SocketAddr> {
         let now = self.node.clock.now();
@@ -34,11 +34,11 @@
         choice.select_addresses(live.iter().map(|entry| &entry.record))
     }
 
-    /// Stops or allows the sending of requests to the upstreams of a zone; returns once that is
+    /// Stops or resumes sending requests to the upstreams of a zone. Returns once the change is
     /// durable.
     ///
     /// # Errors
-    /// [`ReplaceError::NoLeader`].
+    /// [`ReplaceError::NoLeader`] if no leader accepted the change.
     pub async fn evacuate(&self, zone: &str, evacuated: bool) -> Result<(), ReplaceError> {
         let change = Change::SetEvacuated {
             evacuated,
@@ -47,17 +47,18 @@
         self.change(change).await
     }
 
-    /// Whether callers may be sent to this VM.
+    /// Whether new callers may be directed to this VM.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.node.gateway.ready(&self.node)
     }
 
-    /// Puts a routing in force unless one with the same or a higher number is; returns once that
-    /// is durable.
+    /// Puts a routing in force unless one with the same or a higher revision is in force. Returns
+    /// once the change is durable.
     ///
     /// # Errors
-    /// [`ReplaceError`].
+    /// [`ReplaceError`] if the routing is invalid, the VM has just started or no leader accepted
+    /// the change.
     pub async fn replace(&self, mut routing: Routing) -> Result<(), ReplaceError> {
         let faults = routing.faults();
         if !faults.is_empty() {
@@ -86,11 +87,12 @@
         self.change(change).await
     }
 
-    /// The routing in force, as new as anything that was acknowledged before the call.
+    /// Returns the routing in force. It is at least as new as any change acknowledged before the
+    /// call.
     ///
     /// # Errors
-    /// [`ReplaceError::NoLeader`] if it is not known which is the newest, [`ReplaceError::NoLog`] on a
-    /// VM whose copy lacks the operator's text.
+    /// [`ReplaceError::NoLeader`] if the newest version is unknown or does not reach this VM in
+    /// time, [`ReplaceError::NoLog`] on a VM whose copy lacks the operator's text.
     pub async fn routing(&self) -> Result<Routing, ReplaceError> {
         if self.node.settings.data_folder.is_none() {
             return Err(ReplaceError::NoLog);
@@ -115,17 +117,18 @@
         match outcome {
             Ok(CommandOutcome::Change(ChangeOutcome::Accepted { .. })) => Ok(()),
             Ok(outcome) => {
-                log::error!(outcome:? = outcome; "change not accepted");
+                log::error!(outcome:? = outcome; "change was not accepted");
                 Err(ReplaceError::NoLeader)
             }
             Err(refusal) => {
-                log::warn!(refusal:% = refusal; "change without a leader");
+                log::warn!(refusal:% = refusal; "no leader accepted the change");
                 Err(ReplaceError::NoLeader)
             }
         }
     }
 
-    /// Waits until this VM has a version, which a follower has some time after the leader.
+    /// Waits until this VM has applied a version, which a follower does some time after the leader.
+    /// Returns false if that takes too long.
     async fn catch_up(&self, version: Version) -> bool {
         const LOOK: Duration = Duration::from_millis(5);
         const LONGEST: Duration = Duration::from_millis(800);
--- a/crates/ebonystand/src/gateway/headers.rs
+++ b/crates/ebonystand/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Access to HTTP headers and removal of hop-by-hop headers, which concern only one connection.
 
 use super::*;
 use actix_http::header::{HeaderName, HeaderValue};
@@ -16,7 +16,8 @@
     "http2-settings",
 ];
 
-/// The headers that go on past this connection, without those in `dropped`.
+/// Copies the end-to-end headers: all but hop-by-hop headers, headers named by `connection`, and
+/// those in `dropped`, which are lower-case names.
 pub fn passed_on(headers: &HeaderMap, dropped: &[&str]) -> HeaderMap {
     let named = headers.get_all("connection");
     let named = named
@@ -37,17 +38,20 @@
     passed
 }
 
-/// Sets a header whose value is made of visible characters; another one is left out and logged.
+/// Sets a header. A value with characters that a header can't carry is logged and the header left
+/// unset.
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
             headers.insert(HeaderName::from_static(name), value);
         }
-        Err(error) => log::warn!(name = name, error:% = error; "header left out"),
+        Err(error) => {
+            log::warn!(name = name, error:% = error; "header not set: its value has invalid characters")
+        }
     }
 }
 
-/// Text of a header.
+/// Returns the value of a header if it is present and made of visible ASCII characters.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/ebonystand/src/gateway/list_controller.rs
+++ b/crates/ebonystand/src/gateway/list_controller.rs
@@ -6,9 +6,10 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Holds the list of upstreams, reads it or hears it from the VM of the region that does.
+/// Keeps the list of upstreams of this VM's region. One VM of the region reads the list from its
+/// source and the others receive it from there.
 pub(crate) struct ListController {
-    /// The list in force with its hash; none before the first one.
+    /// List in force and its hash; `None` until the first list arrives.
     listed: RefCell<Option<(u64, Vec<ListedUpstream>)>>,
     reader: RefCell<ListReaderElection>,
     source: Option<Rc<dyn UpstreamSource>>,
@@ -27,13 +28,14 @@
         }
     }
 
-    /// Whether there is a list.
+    /// Whether this VM has received or read a list.
     pub(crate) fn is_known(&self) -> bool {
         self.listed.borrow().is_some()
     }
 
-    /// Takes over the list that another VM of the region has read, or asks for it, and passes it on to
-    /// the VMs that report to this one.
+    /// Handles a list, or only the hash of one, from another VM of the region. A list is put in
+    /// force and passed on to the VMs that report to this one; the hash of the list in force is
+    /// passed on as well. A list with an unknown hash is requested from the sender.
     pub(crate) fn heard(
         &self,
         node: &Rc<Node>,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Sends the list in force to a VM that asks for it.
+    /// Sends the list in force to a VM that has requested it.
     pub(crate) fn send(&self, node: &Node, to: &VmId) {
         let listed = self.listed.borrow().clone();
         if let Some((digest, upstreams)) = listed {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Puts a list in force; whether it differs from the last one.
+    /// Puts a list in force and returns whether it differs from the previous one.
     fn put(&self, node: &Node, upstreams: Vec<ListedUpstream>) -> bool {
         let digest = digest(&upstreams);
         let now = node.clock.now();
@@ -82,7 +84,7 @@
         before.is_none_or(|(before, _)| before != digest)
     }
 
-    /// Passes the list on to VMs of the region, whole if it is new.
+    /// Sends the list to VMs of the region, or only its hash if the list is not new.
     fn share(&self, node: &Node, is_new: bool, peers: &BTreeSet<VmId>) {
         let listed = self.listed.borrow();
         let Some((digest, upstreams)) = &*listed else {
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Waits until this VM, which has just started, knows who of the region reads the list.
+    /// Waits after the start of this VM until it knows which VMs of the region can read the list,
+    /// the list is overdue, or a list has arrived.
     async fn meet(node: &Rc<Node>) {
         const LOOK: Duration = Duration::from_millis(50);
         let this = &node.gateway.list;
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Live VMs of the region that could read the list.
+    /// Returns the live VMs of the region that are eligible to read the list.
     fn readers(node: &Node) -> Vec<VmId> {
         let live = node.membership.live(node.clock.now());
         let readers = live.iter().map(|entry| &entry.record).filter(|record| {
@@ -121,8 +124,8 @@
         readers.map(|record| record.vm.clone()).collect()
     }
 
-    /// Reads the list of upstreams again and again until the task is dropped, for all VMs of the
-    /// region where this is the one that does.
+    /// Reads the list of upstreams periodically while this VM is the region's reader, until the
+    /// task is dropped.
     pub(crate) async fn run(node: Rc<Node>) {
         let this = &node.gateway.list;
         let every = node.settings.gateway.list_every;
@@ -157,13 +160,14 @@
                 }
                 Some(Err(error)) => {
                     if !failing {
-                        log::warn!(error:% = error; "list of upstreams out of reach");
+                        log::warn!(error:% = error; "list of upstreams could not be read");
                     }
                     failing = true;
                 }
             }
             node.gateway.pool.prune(node.clock.now());
-            // Spread, so that the VMs that started together do not ask together for ever.
+            // The random factor keeps VMs that started together from reading the source at the same
+            // moments.
             let part = node.gateway.jitter();
             actix_rt::time::sleep(every.mul_f64(part)).await;
         }
@@ -179,7 +183,7 @@
         source.list(&fetch).await
     }
 
-    /// The upstreams that the configuration itself names.
+    /// Builds the list from the upstreams in the configuration itself.
     fn configured(document: &Document) -> Vec<ListedUpstream> {
         let upstreams = document.upstreams.iter();
         let listed = upstreams.filter_map(|(id, upstream)| {
@@ -204,7 +208,7 @@
     match postcard::to_stdvec(upstreams) {
         Ok(bytes) => xxh3_64(&bytes),
         Err(error) => {
-            log::error!(error:% = error; "the list of upstreams cannot be encoded");
+            log::error!(error:% = error; "list of upstreams could not be encoded to hash it");
             0
         }
     }
--- a/crates/ebonystand/src/gateway/mod.rs
+++ b/crates/ebonystand/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! Serving of plain HTTP requests by routes: names on the wire are a [`Dialect`]'s, decisions the
-//! core's; this part carries requests to upstreams and answers back.
+//! Serves plain HTTP requests by routes. A [`Dialect`] defines the headers, the core crate makes
+//! the decisions, and this module carries requests to upstreams and answers back to callers.
 
 use super::*;
 
--- a/crates/ebonystand/src/gateway/native_dialect.rs
+++ b/crates/ebonystand/src/gateway/native_dialect.rs
@@ -1,11 +1,12 @@
 use super::*;
 use ebonystand_core::Prompt;
 
-/// The gateway's own names, for callers and upstreams that speak no other dialect.
+/// Built-in dialect, which uses `x-ebonystand-*` headers towards callers and upstreams.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NativeDialect;
 
-/// Engine from which the one that is called imports what it keeps of the prompt.
+/// Header with the address of the engine from which the upstream imports cached parts of the
+/// prompt.
 const IMPORT_FROM: &str = "x-ebonystand-import-from";
 const INSTANCE: &str = "x-ebonystand-instance";
 const DEADLINE: &str = "x-ebonystand-deadline-ms";
--- a/crates/ebonystand/src/gateway/outgoing_call.rs
+++ b/crates/ebonystand/src/gateway/outgoing_call.rs
@@ -1,20 +1,21 @@
 use super::*;
 
-/// What the gateway itself says to an upstream with a request.
+/// Metadata that the gateway sends to an upstream with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingCall<'a> {
-    /// Engine from which the one that is to answer imports what it lacks of the prompt.
+    /// Address of the engine from which the upstream imports the parts of the prompt that are
+    /// missing from its cache.
     pub import_from: Option<SocketAddr>,
-    /// Start of the server that is to answer.
+    /// Identifier of the upstream instance, one start of a server, that the request is meant for.
     pub instance: &'a str,
-    /// Time left for it.
+    /// Time left until the whole answer is due.
     pub left: Duration,
-    /// Rank, 0 being the first.
+    /// Rank of the request; 0 is served first.
     pub rank: u8,
-    /// Whether it has a prompt, which an engine orders by its rank.
+    /// Whether the request has a prompt. Engines order such requests by rank.
     pub has_prompt: bool,
-    /// Name of the request.
+    /// Identifier of the request.
     pub request: &'a str,
-    /// Workspace that it runs for; none on a public route.
+    /// Workspace that the request belongs to; `None` on a public route.
     pub workspace: Option<&'a str>,
 }
--- a/crates/ebonystand/src/gateway/receive_forward.rs
+++ b/crates/ebonystand/src/gateway/receive_forward.rs
@@ -1,4 +1,4 @@
-//! Takes requests that VMs of other regions forward, and sends them to upstreams of the own region.
+//! Accepts requests that VMs of other regions forward and sends them to upstreams of this region.
 
 use super::*;
 use {
@@ -52,7 +52,7 @@
         Ok(forwarded) => forwarded,
         Err(error) => {
             node.metrics.peer_refused.inc();
-            log::warn!(error:% = error; "forwarded request refused");
+            log::warn!(error:% = error; "metadata header of a forwarded request is invalid");
             return Outcome::ended(AttemptEnd::Unreachable);
         }
     };
@@ -60,8 +60,8 @@
     let Some(in_flight) = InFlight::enter(&node.in_flight, limit) else {
         return Outcome::ended(AttemptEnd::Unreachable);
     };
-    // This VM has been told to stop, and goes on for want of another one in its region. A long answer
-    // would be cut off when it ends; the VM that forwards can still turn elsewhere.
+    // A VM that has been asked to stop but has no replacement in its region still serves. A long
+    // answer would be cut off when it stops, and the forwarding VM can still choose another region.
     let is_too_long = serve_call::would_be_cut_off(node, forwarded.prompt.as_ref());
     if is_too_long || !node.gateway.serves(node) {
         return Outcome::ended(AttemptEnd::Unreachable);
@@ -69,7 +69,7 @@
     let body = match body::read(node, req.headers(), payload).await {
         Ok(body) => body,
         Err(refusal) => {
-            log::warn!(request:% = forwarded.request, refusal:% = refusal; "forwarded request not read");
+            log::warn!(request:% = forwarded.request, refusal:% = refusal; "body of a forwarded request could not be read");
             return Outcome::ended(AttemptEnd::Unreachable);
         }
     };
@@ -126,14 +126,14 @@
             let outcome = call.send_here(node, &to, wait).await;
             held(outcome, in_flight)
         }
-        // Nothing was sent: the other VM may turn elsewhere.
+        // Nothing was sent to an upstream, so the forwarding VM may try another region.
         TargetChoice::NoRoom { predicted } => no_room(predicted),
         TargetChoice::Unavailable { retry_after, .. } => no_room(retry_after),
         TargetChoice::OtherRegion { .. } => Outcome::ended(AttemptEnd::Unreachable),
     }
 }
 
-/// What tells the other VM that this region has no room, and for how long.
+/// Tells the forwarding VM that this region has no room, and when to retry.
 fn no_room(retry_after: Duration) -> Outcome {
     Outcome::Ended {
         answer: None,
--- a/crates/ebonystand/src/gateway/relay.rs
+++ b/crates/ebonystand/src/gateway/relay.rs
@@ -8,29 +8,31 @@
     node::Node,
 };
 
-/// An answer on its way from an upstream to a caller, with all that it holds until it ends or its
-/// caller leaves.
+/// Passes an upstream's answer on to a caller, and holds the request's resources until the answer
+/// ends or the caller disconnects.
 pub(crate) struct Relay {
     address: SocketAddr,
     answering: Option<Answering>,
     attempt: Option<Attempt>,
-    /// When the caller stops waiting.
+    /// Time by which the whole answer is due.
     end: Duration,
     first: Option<Bytes>,
-    /// What the request holds until its end.
+    /// Resources of the request, released when the relay is dropped.
     _held: Held,
     instance: UpstreamId,
-    /// Whether an engine gives it, event by event.
+    /// Whether an engine generates the answer, as a stream of events.
     is_stream: bool,
     node: Rc<Node>,
     request: Box<str>,
     started: Duration,
-    /// Workspace whose latencies this answer counts among; none on a VM that it passes on its way.
+    /// Workspace whose latency metrics include this answer. `None` on public routes, and on a VM
+    /// that serves the request for another region.
     workspace: Option<WorkspaceId>,
     bytes: u64,
 }
 
-/// What a request holds until its answer has ended; only dropped.
+/// Resources that a request holds until its answer has ended. They are released by dropping this
+/// value.
 #[derive(Default)]
 pub(crate) struct Held {
     _in_flight: Option<InFlight>,
@@ -46,22 +48,23 @@
     }
 }
 
-/// Why an answer to a caller breaks off.
+/// Reason why an answer to a caller is cut off.
 #[derive(Debug, Snafu)]
 pub(crate) enum RelayFault {
-    #[snafu(display("the time for the request is over"))]
+    #[snafu(display("the deadline of the request has passed"))]
     Deadline,
-    #[snafu(display("the upstream broke off"))]
+    #[snafu(display("the upstream closed the answer before its end"))]
     Upstream,
 }
 
 impl Relay {
-    /// Time between the last bytes of an answer that breaks off and the end of its caller's
-    /// connection. The server throws away what it has not yet written when a body ends in an error;
-    /// without the pause a caller would lose events, or the whole head, that had come.
+    /// Pause between the last bytes of an interrupted answer and the close of the caller's
+    /// connection. The HTTP server discards unwritten data when a body ends in an error; without
+    /// the pause, the caller would lose events or even the head that had already arrived.
     const LAST_BYTES: Duration = Duration::from_millis(20);
 
-    /// Waits for the first bytes of the body; from then on the answer cannot be taken back.
+    /// Waits for the first bytes of the body. Once they have arrived, the request is not retried if
+    /// the answer is streamed.
     pub(crate) async fn start(
         node: &Rc<Node>,
         call: &Call,
@@ -113,7 +116,8 @@
         }
     }
 
-    /// Counts this answer's latencies among those of a workspace.
+    /// Records the time to the first token in a workspace's metrics, and has the total time
+    /// recorded when the answer ends.
     pub(crate) fn observe_for(&mut self, workspace: Option<WorkspaceId>) {
         let Some(id) = &workspace else { return };
         let waited = self.node.clock.now().saturating_sub(self.started);
@@ -127,8 +131,8 @@
         self._held = held;
     }
 
-    /// The answer as it comes. One that breaks off ends the caller's connection, or half an answer
-    /// would look whole.
+    /// Streams the answer as it arrives. An interrupted answer ends in an error, which closes the
+    /// caller's connection; otherwise a partial answer would look complete.
     pub(crate) fn into_stream(self) -> impl Stream<Item = Result<Bytes, RelayFault>> {
         stream::unfold(self, |mut relay| async move {
             let item = relay.next().await.transpose()?;
@@ -139,7 +143,7 @@
         })
     }
 
-    /// The whole answer.
+    /// Reads the whole answer, up to `limit` bytes.
     pub(crate) async fn read_whole(mut self, limit: usize) -> Result<Bytes, AttemptEnd> {
         let mut whole = BytesMut::new();
         loop {
--- a/crates/ebonystand/src/gateway/replace_error.rs
+++ b/crates/ebonystand/src/gateway/replace_error.rs
@@ -1,23 +1,23 @@
 use super::*;
 use ebonystand_core::RoutingFault;
 
-/// Why an order about routes was not carried out.
+/// Reason why a change to the routing or to a zone's evacuation, or a read of the routing, failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReplaceError {
-    /// It can never be put in force.
+    /// The routing is invalid and can never be put in force.
     #[snafu(display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")))]
     Faulty {
-        /// Every fault.
+        /// All faults found in the routing.
         faults: Vec<RoutingFault>,
     },
-    /// No leader answered. What was asked for may still come into force.
+    /// No leader accepted the request. A requested change may still be put in force.
     #[snafu(display("no leader answered; what was asked for may still come into force"))]
     NoLeader,
-    /// This VM has no log; its copy of the configuration lacks the operator's text.
+    /// This VM has no log, and its copy of the configuration lacks the operator's text.
     #[snafu(display("this VM has no log; ask one that has"))]
     NoLog,
-    /// This VM has just started, and does not know yet who else there is.
+    /// This VM has just started and has not discovered the other VMs yet.
     #[snafu(display("this VM has just started"))]
     TooEarly,
 }
--- a/crates/ebonystand/src/gateway/serve_call.rs
+++ b/crates/ebonystand/src/gateway/serve_call.rs
@@ -1,4 +1,4 @@
-//! Chain of filters of a request that a route serves.
+//! Admits a caller's request to a route step by step and runs it.
 
 use super::*;
 use {
@@ -11,18 +11,19 @@
     std::collections::BTreeSet,
 };
 
-/// Time in which a part of an allowance comes from another region: two round trips and some work. A
-/// request waits no longer for it than a quarter of its aim, but for this.
+/// Minimum time that a request waits for its workspace's allowance. Borrowing allowance from
+/// another region takes two round trips and some processing. Beyond this minimum, a request waits
+/// for a quarter of its first-byte target at most.
 const BORROWED_WITHIN: Duration = Duration::from_millis(250);
-/// Time after which a caller is asked to come back to a VM that does not know the newest
-/// configuration: several tries of it to learn it.
+/// Retry delay for callers of a VM that can't confirm that its configuration is the newest. The VM
+/// can ask for a confirmation several times meanwhile.
 pub(crate) const UNCONFIRMED_RETRY: Duration = Duration::from_millis(500);
-/// Time between two looks whether a VM that starts can serve.
+/// Time between two checks of whether a starting VM can serve.
 const START_LOOK: Duration = Duration::from_millis(20);
-/// Longest answer in tokens that a VM which is about to stop begins: under two seconds of generation
-/// at 7 ms a token.
+/// Longest answer, in tokens, that a VM still begins when it is about to stop: less than two
+/// seconds of generation at 7 ms per token.
 const SHORT_ANSWER: Tokens = 256;
-/// Longest time that a caller whose workspace is over its quota is asked to wait.
+/// Longest retry delay for a caller whose workspace is over its quota.
 const LONGEST_QUOTA_RETRY: Duration = Duration::from_secs(5);
 
 pub(crate) async fn handle(node: Rc<Node>, mut req: Request) -> Response<BoxBody> {
@@ -43,12 +44,12 @@
     response
 }
 
-/// Whether this VM would stop before the answer to a request that comes now has ended.
+/// Whether this VM would stop before the end of the answer to a request that arrives now.
 pub(crate) fn would_be_cut_off(node: &Node, prompt: Option<&Prompt>) -> bool {
     node.lingered() && prompt.is_some_and(|prompt| prompt.output > SHORT_ANSWER)
 }
 
-/// Path and query as they came.
+/// Returns the path and query of a request, unchanged.
 pub(crate) fn path_and_query(req: &Request) -> Box<str> {
     let whole = req.uri().path_and_query();
     whole.map_or("/", |whole| whole.as_str()).into()
@@ -86,7 +87,8 @@
     })
 }
 
-/// Tells of a caller that leaves before it is answered: its request then just ends.
+/// Logs that the caller disconnected if it is dropped before the request is answered; the request's
+/// future is then dropped without a result.
 struct Unanswered<'a> {
     node: &'a Node,
     request: &'a str,
@@ -140,7 +142,7 @@
     let reserved = reserve(node, &route, workspace.as_ref(), tokens, head.deadline).await?;
     let shared = head.prompt.as_ref().and_then(Prompt::placement_hash);
     let hash = shared.unwrap_or_else(|| node.gateway.draw());
-    // A route without a weight is never put in force.
+    // The default is never used: a route in force always has a service with a weight.
     let service = route.select_service(hash).cloned().unwrap_or_default();
     node.gateway.on_request(arrived, &service);
     if let Some(workspace) = &workspace {
@@ -181,11 +183,12 @@
     })
 }
 
-/// Waits until a VM that has just started can serve; the body if it was read for that.
+/// Waits until a VM that has just started can serve, and returns the body if it was read for that.
 ///
-/// After a start of all VMs together, callers came back before the fleet could serve and were refused
-/// again: they may wait a third of their time only, and a start takes longer. Held here, they are
-/// answered late and not at all refused; of a region's callers in those two seconds nothing else is left.
+/// When all VMs started together, callers retried before the fleet could serve and were refused
+/// again, because a start takes longer than the third of their time that they may wait before a
+/// retry. Holding their requests gives them late answers instead of refusals. During the two
+/// seconds of such a start, a region has no other VM that could answer them.
 async fn started(
     node: &Rc<Node>,
     req: &Request,
@@ -200,7 +203,7 @@
     if is_ready() || node.clock.now() >= until {
         return Ok(None);
     }
-    // A caller whose request is not read takes its VM for dead.
+    // A caller considers the VM dead if its request is not read.
     let body = body::read(node, req.headers(), payload).await?;
     while !is_ready() && node.clock.now() < until && !node.draining() {
         actix_rt::time::sleep(START_LOOK).await;
@@ -208,8 +211,8 @@
     Ok(Some(body))
 }
 
-/// Until when a request waits for the start of its VM: until this should be done, and not for more than
-/// half of its own time.
+/// Returns the time until which a request waits for the start of its VM: the expected end of the
+/// start, or half of the request's own time if that is earlier.
 fn start_until(node: &Node, deadline: Option<Duration>) -> Duration {
     let half = deadline.map(|deadline| node.clock.now() + deadline / 2);
     half.map_or(start_end(node), |half| half.min(start_end(node)))
@@ -219,8 +222,8 @@
     node.settings.gateway.start_takes
 }
 
-/// The route and the workspace. A VM whose copy of the configuration is not confirmed to be the
-/// newest says neither that a route or a key does not exist nor that a key is good.
+/// Finds the route and the workspace of a request. Without confirmation that its configuration is
+/// the newest, a VM neither denies that a route or key exists nor accepts a key.
 fn find(
     node: &Node,
     table: &RouteTable,
@@ -264,7 +267,8 @@
     while node.clock.now() < start_until(node, deadline) {
         match AllowanceController::admit(node, &workspace.name, tokens).await {
             Ok(reserved) => return Ok(Some(reserved)),
-            // The holders' parts rest until the leases of their former starts have ended.
+            // The allowance shares of the holders can't be used until the leases from before their
+            // restart have expired.
             Err(_) => actix_rt::time::sleep(START_LOOK).await,
         }
     }
@@ -286,8 +290,8 @@
     Ok(Some(reserved))
 }
 
-/// Regions that may serve a request: where both the route and the workspace name some, those of
-/// both.
+/// Returns the regions that may serve a request: those of the route or of the workspace, or those
+/// in both if both name some. `None` means all regions.
 fn homes(route: &GatewayRoute, workspace: Option<&GatewayWorkspace>) -> Option<BTreeSet<RegionId>> {
     let own = workspace.map(|workspace| &workspace.homes);
     match (&route.homes, own.filter(|homes| !homes.is_empty())) {
@@ -307,8 +311,8 @@
     Refusal::not_run(code, message).with_retry_after(UNCONFIRMED_RETRY)
 }
 
-/// The answer that tells a caller of a refusal. Its time to come back is in fractions of a second:
-/// a whole second is most of the time that some requests have.
+/// Builds the response for a refusal. Its `retry-after` has fractions of a second, because a whole
+/// second is most of the time that some requests have.
 fn refused(refusal: &Refusal) -> Response<BoxBody> {
     let mut response = respond::refusal(refusal, None);
     if let Some(delay) = refusal.retry_after {
--- a/crates/ebonystand/src/gateway/settings.rs
+++ b/crates/ebonystand/src/gateway/settings.rs
@@ -5,41 +5,43 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Settings of serving by routes.
+/// Settings for serving requests by routes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GatewaySettings {
-    /// Time for which a confirmation that the configuration is the newest counts; 0 if none is
-    /// needed to serve a key: [`Self::CONFIRMED_PERMILLE`] of the time in which a key that was taken
-    /// away is to stop working everywhere, on a VM that is cut off too.
+    /// Time for which a confirmation that the configuration is the newest stays valid; 0 if keys
+    /// are served without one. It is [`Self::CONFIRMED_PERMILLE`] of the time within which a
+    /// revoked key must stop working everywhere, even on a VM that is cut off from the others.
     pub confirmed_for: Duration,
-    /// Where requests that VMs of other regions forward are taken.
+    /// Address on which this VM accepts requests forwarded by VMs of other regions.
     pub forwards: Option<SocketAddr>,
-    /// Time between two looks at the list of upstreams.
+    /// Time between two reads of the list of upstreams.
     pub list_every: Duration,
-    /// One-way delay to assume between regions.
+    /// Assumed one-way network delay between regions.
     pub region_delay: Duration,
-    /// What a workspace may use beyond its quota in a window, in permille of the quota.
+    /// Usage that a workspace may have beyond its quota in a window, in permille of the quota.
     pub quota_overage_permille: u64,
-    /// Tokens that a workspace may use beyond its quota in a window.
+    /// Fixed number of tokens that a workspace may use beyond its quota in a window.
     pub quota_slack: u64,
-    /// Length of the window that quotas are judged by.
+    /// Length of the window in which usage is compared with the quota.
     pub quota_window: Duration,
-    /// Requests sent once more, in permille of the requests.
+    /// Share of requests that may be retried, in permille of all requests.
     pub retry_permille: u64,
-    /// Whether callers may be sent to this VM.
+    /// Whether callers may be directed to this VM.
     pub serves_callers: bool,
-    /// Time from the start of a VM until it serves when all VMs start together: an election, and the rest
-    /// of the leases that their former starts held. Requests wait so long for it at most.
+    /// Time that a VM takes to start serving when all VMs start together: an election plus the
+    /// remaining time of the leases held before the restart. Requests wait at most until this time
+    /// after the start.
     pub start_takes: Duration,
-    /// Mechanisms that an experiment leaves out.
+    /// Mechanisms that are disabled for an experiment.
     pub without: BTreeSet<Mechanism>,
-    /// Regions of availability zones.
+    /// Region of each availability zone.
     pub zones: BTreeMap<ZoneId, RegionId>,
 }
 
 impl GatewaySettings {
-    /// Part of the time in which a key is to stop working for which a confirmation counts. The rest
-    /// is for the request that is on its way to its upstream when it runs out.
+    /// Validity of a confirmation, in permille of the time within which a revoked key must stop
+    /// working. The rest is for a request that is already on its way to its upstream when the
+    /// confirmation expires.
     pub const CONFIRMED_PERMILLE: u32 = 800;
 
     pub(crate) fn read(reader: &mut SettingsReader) -> Self {
@@ -67,7 +69,7 @@
     }
 }
 
-/// A share in permille; one below 0 or that is no number counts as 0.
+/// Converts a share to permille. A negative share or one that is not a number becomes 0.
 fn permille(share: f64) -> u64 {
     (share * 1_000.0) as u64
 }
--- a/crates/ebonystand/src/gateway/turns.rs
+++ b/crates/ebonystand/src/gateway/turns.rs
@@ -5,7 +5,7 @@
     tokio::sync::oneshot::{Receiver, Sender, channel},
 };
 
-/// Requests that wait until an upstream has room, by service.
+/// Queues of requests that wait until an upstream has room, one for each service.
 #[derive(Default)]
 pub(crate) struct Turns {
     entered: tokio::sync::Notify,
@@ -19,7 +19,7 @@
     tx: Sender<()>,
 }
 
-/// A place in a queue; dropped, it is given up.
+/// Place of a request in a queue. Dropping it removes the request from the queue.
 struct Place<'a> {
     node: &'a Node,
     number: u64,
@@ -27,11 +27,12 @@
 }
 
 impl Turns {
-    /// Time between two looks at who may go. Answers that begin or end let one go at once; this is
-    /// for room that comes by time alone.
+    /// Time between two checks for requests that can leave a queue. The start or end of an answer
+    /// triggers a check at once; the periodic one finds room that arises just by the passage of
+    /// time.
     const TICK: Duration = Duration::from_millis(20);
 
-    /// Waits for the request's turn for `patience` at most; whether it came.
+    /// Waits up to `patience` for the request's turn and returns whether it came.
     pub(crate) async fn wait(
         node: &Rc<Node>,
         service: &str,
@@ -51,7 +52,7 @@
         matches!(actix_rt::time::timeout(patience, rx).await, Ok(Ok(())))
     }
 
-    /// Lets the first request of each service go whose turn has come.
+    /// Releases the first request of each queue if an upstream has room for it.
     pub(crate) fn advance(node: &Node) {
         let this = &node.gateway.turns;
         if this.waiting.borrow().is_empty() {
@@ -73,13 +74,14 @@
             }
             queue.pop();
             if let Some(waiting) = waiting.remove(&number) {
-                // One that was given up meanwhile needs no turn; the next look lets another go.
+                // The send fails if the request stopped waiting meanwhile; the next check then
+                // releases another one.
                 let _ = waiting.tx.send(());
             }
         }
     }
 
-    /// Looks again and again, while requests wait, until the task is dropped.
+    /// Checks the queues periodically while requests wait, until the task is dropped.
     pub(crate) async fn run(node: Rc<Node>) {
         let this = &node.gateway.turns;
         loop {
