--- a/crates/ebonystand/src/gateway/admitted.rs
+++ b/crates/ebonystand/src/gateway/admitted.rs
@@ -5,8 +5,8 @@
     ebonystand_core::{AttemptEnd, CallKind, GatewayRoute, NextStep, TargetChoice},
     in_flight::InFlight,
     node::Node,
-    relay::Held,
-    serve_call::{UNCONFIRMED_RETRY, unconfirmed},
+    relay::RequestResources,
+    serve_call::{UNCONFIRMED_RETRY, unconfirmed_refusal},
 };
 
 /// A request that has been routed, authorized and admitted to its workspace's quota.
@@ -16,24 +16,27 @@
     pub(crate) key: Option<KeyHash>,
     /// Whether no upstream can have run the request so far.
     pub(crate) not_run: bool,
+    /// Tokens taken from the allowance of the workspace, if it has a quota.
     pub(crate) reserved: Option<Reserved>,
     pub(crate) route: GatewayRoute,
     pub(crate) tokens: Tokens,
+    /// Number of attempts that count towards the route's limit.
     pub(crate) tried: u32,
 }
 
 impl Admitted {
+    /// Sends the request, with retries, until there is an answer or a refusal.
     pub(crate) async fn run(mut self, node: &Rc<Node>) -> Result<Response<BoxBody>, Refusal> {
         loop {
-            let left = self.call.left(node);
+            let left = self.call.remaining_time(node);
             if left.is_zero() {
                 return Err(self.refusal(RefusalCode::Deadline, "its time is over"));
             }
-            self.check_key(node)?;
+            self.revalidate_key(node)?;
             let mut reachable = node.gateway.reachable(node);
             reachable.retain(|region| !self.call.full_regions.contains(region));
             let choice = self.call.choose(node, &reachable);
-            let wait = self.wait(left);
+            let wait = self.first_byte_wait(left);
             let (outcome, instance) = match choice {
                 TargetChoice::Unavailable {
                     reason: because,
@@ -56,7 +59,7 @@
                         RefusalCode::Overloaded,
                         "all upstreams have as much as they can begin in time",
                     );
-                    return Err(refusal.with_retry_after(self.come_back_after(node, predicted)));
+                    return Err(refusal.with_retry_after(self.retry_delay(node, predicted)));
                 }
                 TargetChoice::Upstream {
                     address,
@@ -79,7 +82,7 @@
                         left_ms = left.as_millis() as u64, tried = self.tried;
                         "sent"
                     );
-                    self.count_use();
+                    self.consume_reservation();
                     let to = Destination {
                         address,
                         import,
@@ -103,7 +106,7 @@
                         "sent away"
                     );
                     node.metrics.sent_away.inc();
-                    self.count_use();
+                    self.consume_reservation();
                     let outcome = forward::send(node, &self.call, &region, wait).await;
                     if let Outcome::Ended {
                         end: AttemptEnd::Unreachable,
@@ -122,11 +125,11 @@
                 }
             };
             match outcome {
-                Outcome::Answered(answered) => match self.answer(node, *answered).await {
+                Outcome::Answered(answered) => match self.respond(node, *answered).await {
                     Ok(response) => return Ok(response),
                     Err((end, admitted)) => {
                         self = *admitted;
-                        self.next(node, end, None, None, instance)?;
+                        self.decide_next_step(node, end, None, None, instance)?;
                     }
                 },
                 Outcome::Ended {
@@ -134,7 +137,9 @@
                     end,
                     retry_after,
                 } => {
-                    if let Some(answer) = self.next(node, end, answer, retry_after, instance)? {
+                    if let Some(answer) =
+                        self.decide_next_step(node, end, answer, retry_after, instance)?
+                    {
                         return Ok(answer);
                     }
                 }
@@ -145,7 +150,7 @@
     /// Converts an upstream's answer into the response to the caller. A stream is passed on as it
     /// arrives. Any other answer is buffered whole first, so that an idempotent call can be retried
     /// elsewhere if its answer breaks off.
-    async fn answer(
+    async fn respond(
         mut self,
         node: &Rc<Node>,
         answered: call::Answered,
@@ -155,27 +160,27 @@
             mut relay,
             status,
         } = answered;
-        relay.observe_for(self.call.workspace.clone());
+        relay.record_latencies_for(self.call.workspace.clone());
         if self.route.kind == CallKind::Stream {
-            relay.hold(Held::new(self.in_flight, self.reserved.take()));
+            relay.set_resources(RequestResources::new(self.in_flight, self.reserved.take()));
             let body = BodyStream::new(Box::pin(relay.into_stream()));
             let mut response = Response::new(status).set_body(body).map_into_boxed_body();
             *response.headers_mut() = headers;
             return Ok(response);
         }
         match relay.read_whole(node.settings.limits.body_bytes).await {
-            Ok(body) => Ok(call::whole(status, &headers, body)),
+            Ok(body) => Ok(call::buffered_response(status, &headers, body)),
             Err(end) => Err((end, Box::new(self))),
         }
     }
 
     /// Validates the API key again, because it may have been revoked while the request waited.
-    fn check_key(&self, node: &Node) -> Result<(), Refusal> {
+    fn revalidate_key(&self, node: &Node) -> Result<(), Refusal> {
         if self.route.public {
             return Ok(());
         }
         if !node.gateway.confirmed(node.clock.now()) {
-            return Err(self.refused(unconfirmed()));
+            return Err(self.with_run_state(unconfirmed_refusal()));
         }
         let table = node.gateway.table();
         let workspace = self.key.as_ref().and_then(|key| table.workspace(key));
@@ -191,13 +196,14 @@
     /// Delay after which a caller refused for lack of room is asked to retry: the predicted wait,
     /// at most the first-byte target, plus a random part of the target so that callers don't return
     /// all at once.
-    fn come_back_after(&self, node: &Node, predicted: Duration) -> Duration {
+    fn retry_delay(&self, node: &Node, predicted: Duration) -> Duration {
         let spread = node.gateway.draw() % 1_000;
         let spread = self.call.aim * u32::try_from(spread).unwrap_or_default() / 1_000;
         predicted.min(self.call.aim) + spread
     }
 
-    fn count_use(&mut self) {
+    /// Charges the request to its reservation, because an upstream may now run it.
+    fn consume_reservation(&mut self) {
         if let Some(reserved) = &mut self.reserved {
             reserved.use_up(self.tokens);
         }
@@ -205,7 +211,7 @@
 
     /// Decides what follows an attempt that sent nothing to the caller. `Ok(None)` means that the
     /// request is tried again.
-    fn next(
+    fn decide_next_step(
         &mut self,
         node: &Node,
         end: AttemptEnd,
@@ -247,10 +253,11 @@
 
     /// Builds a refusal that states whether an upstream may have run the request.
     fn refusal(&self, code: RefusalCode, message: &str) -> Refusal {
-        self.refused(Refusal::not_run(code, message))
+        self.with_run_state(Refusal::not_run(code, message))
     }
 
-    fn refused(&self, mut refusal: Refusal) -> Refusal {
+    /// Adjusts the code and run state of a refusal if an upstream may have run the request.
+    fn with_run_state(&self, mut refusal: Refusal) -> Refusal {
         if !self.not_run {
             refusal.run = RunState::Unknown;
             if refusal.code != RefusalCode::Deadline {
@@ -263,7 +270,7 @@
     /// Time to wait for the first bytes of an answer. If the request can be retried, this is half
     /// of the remaining time, but not less than the first-byte target, so that a silent upstream
     /// costs half of the time instead of the answer.
-    fn wait(&self, left: Duration) -> Duration {
+    fn first_byte_wait(&self, left: Duration) -> Duration {
         let has_tries = self.route.is_repeatable() && self.tried + 1 < self.route.attempts;
         match has_tries {
             true => (left / 2).max(self.call.aim).min(left),
--- a/crates/ebonystand/src/gateway/attempt.rs
+++ b/crates/ebonystand/src/gateway/attempt.rs
@@ -25,6 +25,7 @@
 }
 
 impl Attempt {
+    /// Records in the book that a request is sent to an upstream.
     pub(crate) fn begin(
         node: &Rc<Node>,
         query: &ChoiceQuery,
@@ -52,7 +53,7 @@
     }
 
     /// Records the arrival of the first byte of the answer.
-    pub(crate) fn begun(&mut self) {
+    pub(crate) fn record_first_byte(&mut self) {
         if self.first_byte.is_none() {
             let waited = self.node.clock.now().saturating_sub(self.started);
             self.first_byte = Some(waited);
@@ -61,12 +62,12 @@
             book.record_first_byte(now, &self.instance, self.unread, self.aim, Some(waited));
             book.record_cached_prefixes(now, &self.instance, &self.prefixes, self.homes.as_ref());
             drop(book);
-            Turns::advance(&self.node);
+            RoomQueues::advance(&self.node);
         }
     }
 
     /// Records the arrival of one or more events of a streamed answer.
-    pub(crate) fn event(&mut self) {
+    pub(crate) fn record_event(&mut self) {
         let now = self.node.clock.now();
         if let Some(last) = self.last_event.replace(now) {
             let mut book = self.node.gateway.book.borrow_mut();
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Records how the attempt ended.
     pub(crate) fn end(mut self, end: AttemptEnd) {
         self.close(end);
     }
@@ -83,6 +85,7 @@
         self.first_byte
     }
 
+    /// Records the end of the attempt unless it has been recorded already.
     fn close(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.ended, true) {
             return;
@@ -95,7 +98,7 @@
         let waited = now.saturating_sub(self.started);
         book.record_attempt_end(now, &self.instance, end, waited);
         drop(book);
-        Turns::advance(&self.node);
+        RoomQueues::advance(&self.node);
     }
 }
 
@@ -105,4 +108,4 @@
     }
 }
 
-use {node::Node, turns::Turns};
+use {node::Node, room_queues::RoomQueues};
--- a/crates/ebonystand/src/gateway/call.rs
+++ b/crates/ebonystand/src/gateway/call.rs
@@ -4,8 +4,8 @@
     ebonystand_core::{AttemptEnd, CacheSource, ChoiceQuery, ColdTerms, Prompt, TargetChoice},
     node::Node,
     relay::Relay,
+    room_queues::RoomQueues,
     std::collections::BTreeSet,
-    turns::Turns,
 };
 
 /// A request that can be sent to an upstream of this region or forwarded to a VM of another region.
@@ -69,6 +69,7 @@
 }
 
 impl Outcome {
+    /// Builds the outcome of an attempt that left no answer and no retry delay.
     pub(crate) fn ended(end: AttemptEnd) -> Self {
         Self::Ended {
             answer: None,
@@ -80,28 +81,29 @@
 
 impl Call {
     /// Share of the first-byte target, in permille, for which a request waits for room.
-    const PATIENCE_PERMILLE: u32 = 250;
+    const ROOM_WAIT_PERMILLE: u32 = 250;
     /// Largest body of an upstream's error response that is kept for the caller, in bytes.
-    const LARGEST_FAILURE: usize = 64 << 10;
+    const MAX_FAILURE_BODY: usize = 64 << 10;
     /// Longest time to read the body of an upstream's error response.
-    const REST: Duration = Duration::from_millis(200);
+    const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(200);
 
     /// Waits until an upstream may have room. Returns false if the wait is over before that. A
     /// request that would start too late for its first-byte target is refused early, while its
     /// caller still has time to retry.
     pub(crate) async fn wait_for_room(&self, node: &Rc<Node>) -> bool {
         let since = node.clock.now().saturating_sub(self.admitted);
-        let patience = (self.aim * Self::PATIENCE_PERMILLE / 1_000).saturating_sub(since);
-        if patience.is_zero() {
+        let max_wait = (self.aim * Self::ROOM_WAIT_PERMILLE / 1_000).saturating_sub(since);
+        if max_wait.is_zero() {
             return false;
         }
         let prompt = self.prompt.as_ref();
         let work = prompt.map_or(1, |prompt| prompt.input - prompt.shared_tokens());
         let (rank, service) = (self.rank, &self.service);
-        Turns::wait(node, service, rank, prompt.is_some(), work, patience).await
+        RoomQueues::wait(node, service, rank, prompt.is_some(), work, max_wait).await
     }
 
-    pub(crate) fn left(&self, node: &Node) -> Duration {
+    /// Returns the time left until the whole answer is due.
+    pub(crate) fn remaining_time(&self, node: &Node) -> Duration {
         self.end.saturating_sub(node.clock.now())
     }
 
@@ -113,6 +115,7 @@
         book.choose_target(now, &self.query(node, &document, reachable))
     }
 
+    /// Builds the query for the choice of an upstream or region.
     pub(crate) fn query<'a>(
         &'a self,
         node: &Node,
@@ -128,7 +131,7 @@
             evacuated: &document.evacuated,
             excluded: &self.excluded,
             homes: self.homes.as_ref(),
-            remaining_time: self.left(node),
+            remaining_time: self.remaining_time(node),
             prompt: self.prompt.as_ref(),
             reachable,
             service: &self.service,
@@ -173,7 +176,7 @@
             has_prompt: self.prompt.is_some(),
             import_from: import.as_ref().map(|source| source.address),
             instance,
-            left: self.left(node),
+            left: self.remaining_time(node),
             rank: self.rank,
             request: &self.request,
             workspace: self.workspace.as_deref(),
@@ -181,25 +184,27 @@
         node.gateway.dialect.write(&outgoing, &mut headers);
         let until = node.clock.now() + wait;
         let sent = self.exchange(node, address, instance, headers, wait).await;
-        let answering = match sent {
-            Ok(answering) => answering,
+        let reader = match sent {
+            Ok(reader) => reader,
             Err(end) => {
                 attempt.end(end);
                 return Outcome::ended(end);
             }
         };
-        let head = answering.head();
+        let head = reader.head();
         let marks = node.gateway.dialect.answer(head.status, &head.headers);
         if let Some(slots) = marks.slots {
             let mut book = node.gateway.book.borrow_mut();
             book.record_reported_slots(node.clock.now(), instance, slots);
         }
-        if let Some(end) = self.judge(head, &marks) {
+        if let Some(end) = self.end_by_head(head, &marks) {
             attempt.end(end);
-            return self.failed(node, address, instance, answering, end).await;
+            return self
+                .read_failure(node, address, instance, reader, end)
+                .await;
         }
         let wait = until.saturating_sub(node.clock.now());
-        let relay = Relay::start(node, self, answering, address, instance, wait);
+        let relay = Relay::start(node, self, reader, address, instance, wait);
         let relay = match relay.await {
             Ok(relay) => relay,
             Err(end) => {
@@ -207,8 +212,8 @@
                 return Outcome::ended(end);
             }
         };
-        attempt.begun();
-        Outcome::Answered(Box::new(relay.answered(Some(attempt))))
+        attempt.record_first_byte();
+        Outcome::Answered(Box::new(relay.into_answered(Some(attempt))))
     }
 
     /// Sends the call over a connection and waits up to `wait` for the head of the answer.
@@ -219,7 +224,7 @@
         instance: &str,
         headers: HeaderMap,
         wait: Duration,
-    ) -> Result<Answering, AttemptEnd> {
+    ) -> Result<ResponseReader, AttemptEnd> {
         let pool = &node.gateway.pool;
         let connection = match pool.take(node.clock.now(), address, instance).await {
             Ok(connection) => connection,
@@ -229,15 +234,15 @@
             }
         };
         let head = connection::head(self.method.clone(), &self.path, headers);
-        let answering = connection.request(head, self.body.clone());
-        match actix_rt::time::timeout(wait, answering).await {
-            Ok(Ok(answering)) => Ok(answering),
+        let response = connection.request(head, self.body.clone());
+        match actix_rt::time::timeout(wait, response).await {
+            Ok(Ok(reader)) => Ok(reader),
             Ok(Err(fault)) => {
                 log::warn!(request:% = self.request, upstream:% = instance, address:% = address, fault:% = fault; "no answer");
                 Err(AttemptEnd::Lost)
             }
             Err(_) => {
-                pool.give_up(address);
+                pool.close_idle(address);
                 log::warn!(request:% = self.request, upstream:% = instance, address:% = address, waited_ms = wait.as_millis() as u64; "silent");
                 Err(AttemptEnd::TimedOut)
             }
@@ -245,20 +250,20 @@
     }
 
     /// Reads an upstream's error response so that it can be passed on to the caller.
-    async fn failed(
+    async fn read_failure(
         &self,
         node: &Rc<Node>,
         address: SocketAddr,
         instance: &str,
-        mut answering: Answering,
+        mut reader: ResponseReader,
         end: AttemptEnd,
     ) -> Outcome {
-        let status = answering.head().status;
+        let status = reader.head().status;
         log::warn!(request:% = self.request, upstream:% = instance, status = status.as_u16(), end:? = end; "failed");
-        let headers = answering.head().headers.clone();
+        let headers = reader.head().headers.clone();
         let retry_after = retry_after(&headers);
-        let body = answering.read_whole(Self::LARGEST_FAILURE);
-        let body = actix_rt::time::timeout(Self::REST, body).await;
+        let body = reader.read_whole(Self::MAX_FAILURE_BODY);
+        let body = actix_rt::time::timeout(Self::FAILURE_BODY_TIMEOUT, body).await;
         let Ok(Ok(body)) = body else {
             return Outcome::Ended {
                 answer: None,
@@ -268,8 +273,8 @@
         };
         node.gateway
             .pool
-            .put(node.clock.now(), address, instance, answering);
-        let answer = (end == AttemptEnd::Failed).then(|| whole(status, &headers, body));
+            .put(node.clock.now(), address, instance, reader);
+        let answer = (end == AttemptEnd::Failed).then(|| buffered_response(status, &headers, body));
         Outcome::Ended {
             answer,
             end,
@@ -279,14 +284,18 @@
 
     /// Determines from the head of an answer how the attempt ends; `None` if the answer is for the
     /// caller.
-    fn judge(&self, head: &actix_http::ResponseHead, marks: &AnswerMarks) -> Option<AttemptEnd> {
-        let is_other = marks
+    fn end_by_head(
+        &self,
+        head: &actix_http::ResponseHead,
+        marks: &AnswerMarks,
+    ) -> Option<AttemptEnd> {
+        let is_for_other_request = marks
             .request
             .as_ref()
             .is_some_and(|request| *request != self.request);
         // This is a late or repeated answer to an earlier request, or one that was altered on the
         // way.
-        if is_other || head.headers.contains_key("content-encoding") {
+        if is_for_other_request || head.headers.contains_key("content-encoding") {
             return Some(AttemptEnd::Lost);
         }
         if marks.is_stranger {
@@ -303,7 +312,11 @@
 }
 
 /// Builds a response from a buffered body and the upstream's end-to-end headers.
-pub(crate) fn whole(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<BoxBody> {
+pub(crate) fn buffered_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Bytes,
+) -> Response<BoxBody> {
     let mut response = Response::new(status).set_body(body).map_into_boxed_body();
     *response.headers_mut() = headers::passed_on(headers, &[]);
     response
--- a/crates/ebonystand/src/gateway/connection.rs
+++ b/crates/ebonystand/src/gateway/connection.rs
@@ -24,17 +24,21 @@
 }
 
 /// Reads the body of an answer whose head has arrived.
-pub struct Answering {
+pub struct ResponseReader {
     connection: Connection,
     framing: Framing,
     head: ResponseHead,
     keep_alive: bool,
-    sent_whole: bool,
+    is_request_sent: bool,
 }
 
+/// How the end of a body is recognized.
 enum Framing {
-    Coded(ClientPayloadCodec),
-    Ended,
+    /// By its length or chunks, which the codec decodes.
+    WithCodec(ClientPayloadCodec),
+    /// No more bytes belong to the body.
+    Complete,
+    /// The body ends when the server closes the connection.
     UntilClose,
 }
 
@@ -81,9 +85,9 @@
 }
 
 impl Connection {
-    const FIRST_READ: usize = 4 << 10;
+    const READ_CAPACITY: usize = 4 << 10;
     /// Largest head of an answer, in bytes.
-    const LONGEST_HEAD: usize = 64 << 10;
+    const MAX_HEAD_BYTES: usize = 64 << 10;
 
     /// Opens a connection to `address`.
     ///
@@ -108,7 +112,7 @@
     /// Whether the connection is open and has received nothing since its last answer. Anything
     /// received would be a late or repeated answer, or the end of the connection; data that follows
     /// could be mistaken for the answer to the next request.
-    pub(crate) fn is_clean(&self) -> bool {
+    pub(crate) fn is_reusable(&self) -> bool {
         // A read through the runtime depends on the readiness it saw last, and misses data that has
         // just arrived.
         let peeked = recv(&self.io, &mut [0; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT);
@@ -125,7 +129,7 @@
         mut self,
         head: RequestHead,
         body: Bytes,
-    ) -> Result<Answering, ConnectionFault> {
+    ) -> Result<ResponseReader, ConnectionFault> {
         let is_head = head.method == Method::HEAD;
         let mut codec = ClientCodec::default();
         let mut out = BytesMut::with_capacity(1 << 10);
@@ -145,16 +149,16 @@
             to.write_all(&body).await
         };
         tokio::pin!(send);
-        let mut sent_whole = false;
+        let mut is_request_sent = false;
         let head = loop {
             if let Some(head) = Self::parse(&mut codec, &mut self.buf)? {
                 break head;
             }
-            self.buf.reserve(Self::FIRST_READ);
+            self.buf.reserve(Self::READ_CAPACITY);
             tokio::select! {
-                sent = &mut send, if !sent_whole => {
+                sent = &mut send, if !is_request_sent => {
                     sent.map_err(|source| ConnectionFault::Broken { source })?;
-                    sent_whole = true;
+                    is_request_sent = true;
                 }
                 read = from.read_buf(&mut self.buf) => {
                     let read = read.map_err(|source| ConnectionFault::Broken { source })?;
@@ -166,12 +170,12 @@
         };
         let keep_alive = codec.keep_alive();
         let framing = Self::framing(codec, &head, is_head);
-        Ok(Answering {
+        Ok(ResponseReader {
             connection: self,
             framing,
             head,
             keep_alive,
-            sent_whole,
+            is_request_sent,
         })
     }
 
@@ -182,10 +186,10 @@
             && status != StatusCode::NO_CONTENT
             && status != StatusCode::NOT_MODIFIED;
         match codec.message_type() {
-            MessageType::Payload => Framing::Coded(codec.into_payload_codec()),
-            _ if !has_body => Framing::Ended,
+            MessageType::Payload => Framing::WithCodec(codec.into_payload_codec()),
+            _ if !has_body => Framing::Complete,
             // The parser treats an answer without a length as one without a body.
-            _ if Self::has_length(head) => Framing::Ended,
+            _ if Self::has_length(head) => Framing::Complete,
             _ => Framing::UntilClose,
         }
     }
@@ -206,8 +210,8 @@
             match codec.decode(buf).map_err(malformed)? {
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(Some(head)),
-                None if buf.len() > Self::LONGEST_HEAD => {
-                    let limit = Self::LONGEST_HEAD;
+                None if buf.len() > Self::MAX_HEAD_BYTES => {
+                    let limit = Self::MAX_HEAD_BYTES;
                     return Err(ConnectionFault::Large { limit });
                 }
                 None => return Ok(None),
@@ -217,7 +221,7 @@
     }
 }
 
-impl Answering {
+impl ResponseReader {
     /// Returns the head of the answer.
     pub(crate) fn head(&self) -> &ResponseHead {
         &self.head
@@ -225,10 +229,10 @@
 
     /// Returns the connection if it can carry another request: the answer is complete, no bytes
     /// follow it, and both ends keep the connection alive.
-    pub(crate) fn into_connection(self) -> Option<Connection> {
-        let is_ended = matches!(self.framing, Framing::Ended);
-        let is_sound = is_ended && self.keep_alive && self.sent_whole;
-        (is_sound && self.connection.buf.is_empty()).then_some(self.connection)
+    pub(crate) fn into_reusable_connection(self) -> Option<Connection> {
+        let is_complete = matches!(self.framing, Framing::Complete);
+        let is_reusable = is_complete && self.keep_alive && self.is_request_sent;
+        (is_reusable && self.connection.buf.is_empty()).then_some(self.connection)
     }
 
     /// Reads the next bytes of the body; `None` at its end.
@@ -241,18 +245,18 @@
                 return Ok(next);
             }
             let buf = &mut self.connection.buf;
-            buf.reserve(Connection::FIRST_READ);
+            buf.reserve(Connection::READ_CAPACITY);
             let read = self.connection.io.read_buf(buf).await;
             if read.map_err(|source| ConnectionFault::Broken { source })? > 0 {
                 continue;
             }
             return match self.framing {
                 Framing::UntilClose => {
-                    self.framing = Framing::Ended;
+                    self.framing = Framing::Complete;
                     self.keep_alive = false;
                     Ok(None)
                 }
-                Framing::Coded(_) | Framing::Ended => Err(ConnectionFault::Truncated),
+                Framing::WithCodec(_) | Framing::Complete => Err(ConnectionFault::Truncated),
             };
         }
     }
@@ -278,17 +282,17 @@
     fn decode(&mut self) -> Result<Option<Option<Bytes>>, ConnectionFault> {
         let buf = &mut self.connection.buf;
         match &mut self.framing {
-            Framing::Ended => Ok(Some(None)),
+            Framing::Complete => Ok(Some(None)),
             Framing::UntilClose if buf.is_empty() => Ok(None),
             Framing::UntilClose => Ok(Some(Some(buf.split().freeze()))),
-            Framing::Coded(codec) => {
+            Framing::WithCodec(codec) => {
                 let decoded = codec
                     .decode(buf)
                     .map_err(|error| ConnectionFault::Malformed {
                         reason: error.to_string().into(),
                     })?;
                 if let Some(None) = decoded {
-                    self.framing = Framing::Ended;
+                    self.framing = Framing::Complete;
                 }
                 Ok(decoded)
             }
--- a/crates/ebonystand/src/gateway/connection_pool.rs
+++ b/crates/ebonystand/src/gateway/connection_pool.rs
@@ -13,6 +13,7 @@
 /// receive a request meant for the earlier one.
 type Peer = (SocketAddr, Box<str>);
 
+/// An idle connection and the time until which it may be reused.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
@@ -21,24 +22,24 @@
 
 impl ConnectionPool {
     /// Largest number of idle connections to one server.
-    const PER_PEER: usize = 32;
+    const MAX_PER_PEER: usize = 32;
     /// Longest idle time of a connection, also if the server allows more. It is short compared with
     /// the time for which a broken network path stays unnoticed, and long compared with the time
     /// between two requests.
-    const IDLE: Duration = Duration::from_secs(4);
+    const MAX_IDLE: Duration = Duration::from_secs(4);
     /// Time before the server's idle timeout at which a connection is no longer used. If a request
     /// crosses the server's close on the way, it is unknown whether the server read it.
-    const MARGIN: Duration = Duration::from_millis(1_000);
+    const CLOSE_MARGIN: Duration = Duration::from_millis(1_000);
 
     /// Closes all idle connections to an address.
-    pub(crate) fn give_up(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().retain(|peer, _| peer.0 != address);
     }
 
     /// Closes connections that have been idle too long or can't be reused.
     pub(crate) fn prune(&self, now: Duration) {
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|idle| now < idle.until && idle.connection.is_clean());
+            idle.retain(|idle| now < idle.until && idle.connection.is_reusable());
             !idle.is_empty()
         });
     }
@@ -49,17 +50,19 @@
         now: Duration,
         address: SocketAddr,
         instance: &str,
-        answering: Answering,
+        reader: ResponseReader,
     ) {
-        let stated = stated_idle(&answering.head().headers);
-        let idle = stated.map_or(Self::IDLE, |stated| stated.saturating_sub(Self::MARGIN));
-        let Some(connection) = answering.into_connection() else {
+        let stated = server_idle_timeout(&reader.head().headers);
+        let idle = stated.map_or(Self::MAX_IDLE, |stated| {
+            stated.saturating_sub(Self::CLOSE_MARGIN)
+        });
+        let Some(connection) = reader.into_reusable_connection() else {
             return;
         };
         let mut all = self.idle.borrow_mut();
         let kept = all.entry((address, instance.into())).or_default();
-        if kept.len() < Self::PER_PEER {
-            let until = now + idle.min(Self::IDLE);
+        if kept.len() < Self::MAX_PER_PEER {
+            let until = now + idle.min(Self::MAX_IDLE);
             kept.push(Idle { connection, until });
         }
     }
@@ -84,7 +87,7 @@
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&(address, Box::from(instance)))?;
         while let Some(Idle { connection, until }) = idle.pop() {
-            if now < until && connection.is_clean() {
+            if now < until && connection.is_reusable() {
                 return Some(connection);
             }
         }
@@ -93,7 +96,7 @@
 }
 
 /// Parses the idle timeout that the server states in its `keep-alive` header.
-fn stated_idle(headers: &HeaderMap) -> Option<Duration> {
+fn server_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers::text(headers, "keep-alive")?;
     let seconds = text.split(',').find_map(|part| {
         let (name, value) = part.split_once('=')?;
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -11,8 +11,8 @@
     node::Node,
     rand::{RngExt as _, SeedableRng as _},
     rand_pcg::Pcg64Mcg,
+    room_queues::RoomQueues,
     std::collections::{BTreeMap, BTreeSet},
-    turns::Turns,
 };
 
 /// State that requests are routed by, and the tasks that keep it up to date.
@@ -33,9 +33,10 @@
     /// another.
     retries: RefCell<FxHashMap<Box<str>, RetryBudget>>,
     rng: RefCell<Pcg64Mcg>,
+    /// VMs that left a forwarded request unanswered, and until when they get no others.
     suspects: RefCell<FxHashMap<VmId, Duration>>,
     table: RefCell<Rc<RouteTable>>,
-    pub(crate) turns: Turns,
+    pub(crate) room_queues: RoomQueues,
     /// Preset with the retry ratio of the settings.
     preset: Preset,
     needs_confirmation: bool,
@@ -45,18 +46,18 @@
     /// Time between two requests for confirmation that the configuration is the newest. After two
     /// of them without an answer, all VMs with a log are asked, so that a new leader is found
     /// within a second of its election.
-    const CONFIRM_EVERY: Duration = Duration::from_millis(500);
+    const CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
     /// Time between two messages about this region's load to VMs of other regions.
-    const PRESSURE_EVERY: Duration = Duration::from_millis(250);
+    const PRESSURE_INTERVAL: Duration = Duration::from_millis(250);
     /// Number of relays in other regions that get each message about this region's load.
     const PRESSURE_FAN_OUT: usize = 6;
     /// Part of the configured retry ratio that VMs use, in permille. The rest covers the minimum of
     /// retries that each VM may make however few requests it has.
-    const RETRIES_PERMILLE: u64 = 850;
+    const RETRY_SHARE_PERMILLE: u64 = 850;
     /// Largest number of VMs that a new leader notifies of its election.
-    const TOLD_OF_LEADER: usize = 256;
+    const MAX_LEADER_NOTICES: usize = 256;
     /// Time for which a VM gets no forwarded requests after it left one unanswered.
-    const SUSPECT_FOR: Duration = Duration::from_secs(2);
+    const SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
     pub(crate) fn new(
         settings: &Settings,
@@ -94,9 +95,9 @@
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             suspects: RefCell::default(),
             table: RefCell::default(),
-            turns: Turns::default(),
+            room_queues: RoomQueues::default(),
             preset: Preset {
-                retry_budget_permille: gateway.retry_permille * Self::RETRIES_PERMILLE / 1_000,
+                retry_budget_permille: gateway.retry_permille * Self::RETRY_SHARE_PERMILLE / 1_000,
                 ..Preset::default()
             },
             needs_confirmation: !gateway.confirmed_for.is_zero(),
@@ -171,7 +172,7 @@
     /// unanswered.
     pub(crate) fn forwarder(&self, node: &Node, region: &str) -> Option<(VmId, SocketAddr)> {
         let forwarders = self.forwarders(node);
-        let sound = forwarders.of(region, |vm| self.is_sound(node.clock.now(), vm));
+        let sound = forwarders.list_sound(region, |vm| self.is_sound(node.clock.now(), vm));
         if sound.is_empty() {
             return None;
         }
@@ -196,6 +197,7 @@
         budget.try_retry(now, retryable, &self.preset)
     }
 
+    /// Counts a request towards the retry budget of its service.
     pub(crate) fn on_request(&self, now: Duration, service: &str) {
         let mut retries = self.retries.borrow_mut();
         retries
@@ -235,7 +237,7 @@
         let forwarders = self.forwarders(node);
         let reachable = forwarders.regions().filter(|region| {
             let is_sound = |vm: &VmId| self.is_sound(now, vm);
-            forwarders.has_any(region, is_sound)
+            forwarders.has_sound(region, is_sound)
         });
         reachable.cloned().collect()
     }
@@ -248,17 +250,17 @@
             let now = node.clock.now();
             let valid = this.confirmed(now);
             let age = this.confirmation.borrow().age(now);
-            let is_late = age.is_none_or(|age| age > 2 * Self::CONFIRM_EVERY);
+            let is_late = age.is_none_or(|age| age > 2 * Self::CONFIRM_INTERVAL);
             if is_late {
                 this.leader.replace(None);
             }
             let leader = this.leader.borrow().clone();
             match leader {
-                Some(leader) => Self::ask(&node, now, &leader),
+                Some(leader) => Self::request_confirmation(&node, now, &leader),
                 None => {
                     for entry in node.membership.live(now).iter() {
                         if entry.record.holds_log {
-                            Self::ask(&node, now, &entry.record.vm);
+                            Self::request_confirmation(&node, now, &entry.record.vm);
                         }
                     }
                 }
@@ -266,7 +268,7 @@
             // A new leader is asked at once, because a VM can serve only briefly without a
             // confirmation.
             tokio::select! {
-                () = actix_rt::time::sleep(Self::CONFIRM_EVERY) => {}
+                () = actix_rt::time::sleep(Self::CONFIRM_INTERVAL) => {}
                 () = this.leader_changed.notified() => {}
             }
             if valid != this.confirmed(node.clock.now()) {
@@ -279,15 +281,15 @@
     /// is a relay, and whether callers may be directed here to all VMs, until the task is dropped.
     pub(crate) async fn run_pressure(node: Rc<Node>) {
         let this = &node.gateway;
-        actix_rt::spawn(Turns::run(Rc::clone(&node)));
+        actix_rt::spawn(RoomQueues::run(Rc::clone(&node)));
         loop {
-            actix_rt::time::sleep(Self::PRESSURE_EVERY).await;
+            actix_rt::time::sleep(Self::PRESSURE_INTERVAL).await;
             let takes_callers = this.takes_callers(&node);
             MembershipController::set_takes_callers(&node, takes_callers);
             let is_relay = this.book.borrow().is_relay();
             if is_relay && node.settings.gateway.forwards.is_some() {
-                Self::tell_pressure(&node);
-                Self::tell_cached_away(&node);
+                Self::send_pressure(&node);
+                Self::send_cached_to_regions(&node);
             }
         }
     }
@@ -303,7 +305,7 @@
             if !Rc::ptr_eq(&live, &known) {
                 let vms = live
                     .iter()
-                    .filter_map(|entry| of_region(entry, &node.settings.region));
+                    .filter_map(|entry| serving_vm_in(entry, &node.settings.region));
                 this.book.borrow_mut().set_vms(&vms.collect::<Vec<_>>());
                 known = live;
             }
@@ -318,7 +320,7 @@
 
     /// Records that a VM left a forwarded request unanswered.
     pub(crate) fn suspect(&self, now: Duration, vm: &VmId) {
-        let until = now + Self::SUSPECT_FOR;
+        let until = now + Self::SUSPECT_DURATION;
         self.suspects.borrow_mut().insert(vm.clone(), until);
     }
 
@@ -330,7 +332,7 @@
         let others = live
             .iter()
             .filter(|entry| entry.record.vm != node.settings.vm);
-        for entry in others.take(Self::TOLD_OF_LEADER) {
+        for entry in others.take(Self::MAX_LEADER_NOTICES) {
             let message = PeerMessage::Confirmed {
                 asked_us: 0,
                 leading: true,
@@ -351,7 +353,8 @@
         suspects.get(vm).is_none_or(|until| now >= *until)
     }
 
-    fn ask(node: &Rc<Node>, now: Duration, vm: &VmId) {
+    /// Asks a VM, or this VM itself, whether it leads the log and at which version.
+    fn request_confirmation(node: &Rc<Node>, now: Duration, vm: &VmId) {
         let asked_us = now.as_micros() as u64;
         if *vm == node.settings.vm {
             let (leading, version) = node.state.leads_at(node);
@@ -366,7 +369,7 @@
     fn forwarders(&self, node: &Node) -> Rc<Forwarders> {
         let live = node.membership.live(node.clock.now());
         let mut known = self.forwarders.borrow_mut();
-        if !known.is_of(&live) {
+        if !known.is_derived_from(&live) {
             *known = Rc::new(Forwarders::new(live, &node.settings.region));
         }
         Rc::clone(&known)
@@ -374,27 +377,27 @@
 
     /// Sends the prefixes cached by engines to one relay of each other region, which passes them on
     /// there.
-    fn tell_cached_away(node: &Rc<Node>) {
+    fn send_cached_to_regions(node: &Rc<Node>) {
         let this = &node.gateway;
         let cached = this.book.borrow_mut().take_caches_for_regions();
         if cached.is_empty() {
             return;
         }
-        for relays in this.relays_away(node).into_values() {
+        for relays in this.relays_of_other_regions(node).into_values() {
             let index = this.rng.borrow_mut().random_range(0..relays.len());
             node.send(&relays[index], PeerMessage::Cached(cached.clone()));
         }
     }
 
     /// Returns the relays of each other region that has any.
-    fn relays_away(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
+    fn relays_of_other_regions(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
         let live = node.membership.live(node.clock.now());
         let others = live.iter().filter(|entry| entry.record.takes_callers);
         let mut regions = BTreeMap::<&RegionId, Vec<RegionVm>>::new();
         for entry in others.filter(|entry| entry.record.region != node.settings.region) {
             let region = &entry.record.region;
             let vms = regions.entry(region).or_default();
-            vms.extend(of_region(entry, region));
+            vms.extend(serving_vm_in(entry, region));
         }
         let relays = regions.into_iter().map(|(region, vms)| {
             let relays = RelayPlan::new(&vms).relays().cloned().collect::<Vec<_>>();
@@ -403,7 +406,8 @@
         relays.filter(|(_, relays)| !relays.is_empty()).collect()
     }
 
-    fn tell_pressure(node: &Rc<Node>) {
+    /// Sends the latencies expected in this region to random relays of other regions.
+    fn send_pressure(node: &Rc<Node>) {
         let this = &node.gateway;
         let now = node.clock.now();
         let pressures = {
@@ -430,7 +434,7 @@
             })
             .collect::<Vec<_>>();
         let mut others = this
-            .relays_away(node)
+            .relays_of_other_regions(node)
             .into_values()
             .flatten()
             .collect::<Vec<_>>();
@@ -454,7 +458,7 @@
 /// VMs that accept forwarded requests count even before they accept callers. Otherwise each of
 /// several VMs that start together would consider itself alone and send a cold upstream the full
 /// load that it can bear.
-fn of_region(entry: &VmEntry, region: &str) -> Option<RegionVm> {
+fn serving_vm_in(entry: &VmEntry, region: &str) -> Option<RegionVm> {
     let record = &entry.record;
     let serves = record.takes_callers || record.forwards.is_some();
     (*record.region == *region && serves).then(|| RegionVm {
--- a/crates/ebonystand/src/gateway/fetch.rs
+++ b/crates/ebonystand/src/gateway/fetch.rs
@@ -34,7 +34,8 @@
 }
 
 impl Fetch {
-    const LONGEST: usize = 8 << 20;
+    /// Largest document, in bytes.
+    const MAX_BODY_BYTES: usize = 8 << 20;
     /// Time limit for a whole document: several round trips between regions.
     const TIMEOUT: Duration = Duration::from_millis(1_000);
 
@@ -55,13 +56,22 @@
         let mut headers = HeaderMap::new();
         headers::set(&mut headers, "host", &address.to_string());
         let head = connection::head(Method::GET, path, headers);
-        let faulty = |fault| FetchError::Connection { fault };
+        let connection_error = |fault| FetchError::Connection { fault };
         let now = self.node.clock.now();
-        let taken = pool.take(now, address, "").await.map_err(faulty)?;
-        let mut answering = taken.request(head, Bytes::new()).await.map_err(faulty)?;
-        let status = answering.head().status;
-        let body = answering.read_whole(Self::LONGEST).await.map_err(faulty)?;
-        pool.put(self.node.clock.now(), address, "", answering);
+        let taken = pool
+            .take(now, address, "")
+            .await
+            .map_err(connection_error)?;
+        let mut reader = taken
+            .request(head, Bytes::new())
+            .await
+            .map_err(connection_error)?;
+        let status = reader.head().status;
+        let body = reader
+            .read_whole(Self::MAX_BODY_BYTES)
+            .await
+            .map_err(connection_error)?;
+        pool.put(self.node.clock.now(), address, "", reader);
         if status != StatusCode::OK {
             return Err(FetchError::Status {
                 status: status.as_u16(),
--- a/crates/ebonystand/src/gateway/forward.rs
+++ b/crates/ebonystand/src/gateway/forward.rs
@@ -14,8 +14,8 @@
 pub(crate) const FORWARDED: &str = "x-ebonystand-forwarded";
 /// Header of the answer to a forwarded request that states how the attempt in the other region
 /// ended.
-pub(crate) const ENDED: &str = "x-ebonystand-ended";
-/// Value of [`ENDED`] for an answer that comes from the upstream.
+pub(crate) const ATTEMPT_END: &str = "x-ebonystand-ended";
+/// Value of [`ATTEMPT_END`] for an answer that comes from the upstream.
 pub(crate) const BY_UPSTREAM: &str = "upstream";
 const NOT_SENT: &str = "not_sent";
 const SHED: &str = "shed";
@@ -23,7 +23,8 @@
 const TIMED_OUT: &str = "timed_out";
 const FAILED: &str = "failed";
 
-pub(crate) fn ended_name(end: AttemptEnd) -> &'static str {
+/// Returns the value of [`ATTEMPT_END`] for the end of an attempt.
+pub(crate) fn attempt_end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Shed | AttemptEnd::AddressReused => SHED,
         AttemptEnd::Unreachable => NOT_SENT,
@@ -33,7 +34,8 @@
     }
 }
 
-fn ended_of(name: &str) -> Option<AttemptEnd> {
+/// Parses the value of [`ATTEMPT_END`]; `None` if the answer comes from the upstream.
+fn parse_attempt_end(name: &str) -> Option<AttemptEnd> {
     match name {
         BY_UPSTREAM => None,
         NOT_SENT => Some(AttemptEnd::Unreachable),
@@ -49,7 +51,7 @@
     let Some((vm, address)) = node.gateway.forwarder(node, region) else {
         return Outcome::ended(AttemptEnd::Unreachable);
     };
-    let left = call.left(node);
+    let left = call.remaining_time(node);
     let forwarded = Forwarded {
         aim_ms: call.aim.as_millis() as u64,
         homes: call.homes.clone(),
@@ -70,8 +72,8 @@
     }
     let until = node.clock.now() + wait;
     let sent = call.exchange(node, address, &vm, headers, wait).await;
-    let answering = match sent {
-        Ok(answering) => answering,
+    let reader = match sent {
+        Ok(reader) => reader,
         Err(end) => {
             if matches!(end, AttemptEnd::Unreachable | AttemptEnd::TimedOut) {
                 node.gateway.suspect(node.clock.now(), &vm);
@@ -79,16 +81,16 @@
             return Outcome::ended(end);
         }
     };
-    let headers = &answering.head().headers;
-    let ended = headers::text(headers, ENDED).unwrap_or_default();
-    if let Some(end) = ended_of(ended) {
-        return refused(node, call, answering, address, &vm, end).await;
+    let headers = &reader.head().headers;
+    let ended = headers::text(headers, ATTEMPT_END).unwrap_or_default();
+    if let Some(end) = parse_attempt_end(ended) {
+        return read_failure(node, call, reader, address, &vm, end).await;
     }
     let wait = until.saturating_sub(node.clock.now());
-    match Relay::start(node, call, answering, address, &vm, wait).await {
+    match Relay::start(node, call, reader, address, &vm, wait).await {
         Ok(relay) => {
-            let mut answered = relay.answered(None);
-            answered.headers.remove(ENDED);
+            let mut answered = relay.into_answered(None);
+            answered.headers.remove(ATTEMPT_END);
             Outcome::Answered(Box::new(answered))
         }
         Err(end) => Outcome::ended(end),
@@ -96,28 +98,29 @@
 }
 
 /// Reads the other VM's report of why it has no answer from an upstream.
-async fn refused(
+async fn read_failure(
     node: &Rc<Node>,
     call: &Call,
-    mut answering: Answering,
+    mut reader: ResponseReader,
     address: SocketAddr,
     vm: &VmId,
     end: AttemptEnd,
 ) -> Outcome {
-    const LARGEST: usize = 64 << 10;
-    const REST: Duration = Duration::from_millis(200);
-    let status = answering.head().status;
-    let mut headers = answering.head().headers.clone();
-    headers.remove(ENDED);
+    const MAX_FAILURE_BODY: usize = 64 << 10;
+    const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(200);
+    let status = reader.head().status;
+    let mut headers = reader.head().headers.clone();
+    headers.remove(ATTEMPT_END);
     log::warn!(request:% = call.request, vm:% = vm, end:? = end, status = status.as_u16(); "other region has no answer to the forwarded request");
     let retry_after = call::retry_after(&headers);
-    let body = actix_rt::time::timeout(REST, answering.read_whole(LARGEST)).await;
+    let body =
+        actix_rt::time::timeout(FAILURE_BODY_TIMEOUT, reader.read_whole(MAX_FAILURE_BODY)).await;
     let answer = match (body, end) {
-        (Ok(Ok(body)), AttemptEnd::Failed) => Some(call::whole(status, &headers, body)),
+        (Ok(Ok(body)), AttemptEnd::Failed) => Some(call::buffered_response(status, &headers, body)),
         _ => None,
     };
     let now = node.clock.now();
-    node.gateway.pool.put(now, address, vm, answering);
+    node.gateway.pool.put(now, address, vm, reader);
     Outcome::Ended {
         answer,
         end,
--- a/crates/ebonystand/src/gateway/forwarders.rs
+++ b/crates/ebonystand/src/gateway/forwarders.rs
@@ -4,11 +4,12 @@
 /// VMs of other regions that accept forwarded requests, derived from the live VMs.
 pub(crate) struct Forwarders {
     live: Rc<[VmEntry]>,
-    regions: BTreeMap<RegionId, OfRegion>,
+    regions: BTreeMap<RegionId, RegionForwarders>,
 }
 
+/// Forwarders of one region with their addresses for forwarded requests.
 #[derive(Default)]
-struct OfRegion {
+struct RegionForwarders {
     /// VMs that still serve requests but will stop soon.
     leaving: Vec<(VmId, SocketAddr)>,
     staying: Vec<(VmId, SocketAddr)>,
@@ -26,7 +27,7 @@
 impl Forwarders {
     /// Selects the forwarders from `live` for a VM of the region `here`.
     pub(crate) fn new(live: Rc<[VmEntry]>, here: &str) -> Self {
-        let mut regions = BTreeMap::<RegionId, OfRegion>::new();
+        let mut regions = BTreeMap::<RegionId, RegionForwarders>::new();
         for VmEntry { record, .. } in live.iter() {
             let Some(address) = record.forwards.filter(|_| record.takes_callers) else {
                 continue;
@@ -34,10 +35,10 @@
             if *record.region == *here {
                 continue;
             }
-            let of_region = regions.entry(record.region.clone()).or_default();
+            let region_forwarders = regions.entry(record.region.clone()).or_default();
             let vms = match record.leaving {
-                true => &mut of_region.leaving,
-                false => &mut of_region.staying,
+                true => &mut region_forwarders.leaving,
+                false => &mut region_forwarders.staying,
             };
             vms.push((record.vm.clone(), address));
         }
@@ -45,33 +46,40 @@
     }
 
     /// Whether the forwarders are derived from this very `live` list.
-    pub(crate) fn is_of(&self, live: &Rc<[VmEntry]>) -> bool {
+    pub(crate) fn is_derived_from(&self, live: &Rc<[VmEntry]>) -> bool {
         Rc::ptr_eq(&self.live, live)
     }
 
     /// Whether a region has a forwarder for which `is_sound` holds.
-    pub(crate) fn has_any(&self, region: &str, is_sound: impl Fn(&VmId) -> bool) -> bool {
-        let of_region = self.regions.get(region);
-        of_region.is_some_and(|of_region| {
-            let mut all = of_region.staying.iter().chain(&of_region.leaving);
+    pub(crate) fn has_sound(&self, region: &str, is_sound: impl Fn(&VmId) -> bool) -> bool {
+        let region_forwarders = self.regions.get(region);
+        region_forwarders.is_some_and(|region_forwarders| {
+            let mut all = region_forwarders
+                .staying
+                .iter()
+                .chain(&region_forwarders.leaving);
             all.any(|(vm, _)| is_sound(vm))
         })
     }
 
     /// Returns the forwarders of a region for which `is_sound` holds: those that stay, or those
     /// that are leaving if there are no others.
-    pub(crate) fn of(
+    pub(crate) fn list_sound(
         &self,
         region: &str,
         is_sound: impl Fn(&VmId) -> bool,
     ) -> Vec<&(VmId, SocketAddr)> {
-        let Some(of_region) = self.regions.get(region) else {
+        let Some(region_forwarders) = self.regions.get(region) else {
             return Vec::new();
         };
         let sound = |(vm, _): &&(VmId, SocketAddr)| is_sound(vm);
-        let staying = of_region.staying.iter().filter(sound).collect::<Vec<_>>();
+        let staying = region_forwarders
+            .staying
+            .iter()
+            .filter(sound)
+            .collect::<Vec<_>>();
         match staying.is_empty() {
-            true => of_region.leaving.iter().filter(sound).collect(),
+            true => region_forwarders.leaving.iter().filter(sound).collect(),
             false => staying,
         }
     }
--- a/crates/ebonystand/src/gateway/gateway_handle.rs
+++ b/crates/ebonystand/src/gateway/gateway_handle.rs
@@ -17,7 +17,7 @@
 impl Gateway {
     /// Time after the start of the process before it proposes the first configuration. By then it
     /// has discovered the other VMs with a log, which are to hold shares of the allowances.
-    const SETTLE: Duration = Duration::from_secs(2);
+    const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
     /// Returns the addresses of VMs that a caller at `caller` may connect to for a host.
     #[must_use]
@@ -65,7 +65,7 @@
             return Err(ReplaceError::Faulty { faults });
         }
         let is_first = self.node.document().routing.revision == 0;
-        if is_first && self.node.clock.now() < Self::SETTLE {
+        if is_first && self.node.clock.now() < Self::DISCOVERY_TIME {
             return Err(ReplaceError::TooEarly);
         }
         let settings = &self.node.settings.gateway;
@@ -81,7 +81,7 @@
             );
         }
         let change = Change::PutRouting {
-            regions: self.regions(&routing),
+            regions: self.plan_regions(&routing),
             routing: Box::new(routing),
         };
         self.change(change).await
@@ -121,7 +121,7 @@
                 Err(ReplaceError::NoLeader)
             }
             Err(refusal) => {
-                log::warn!(refusal:% = refusal; "no leader accepted the change");
+                log::warn!(refusal:% = refusal; "change failed without a leader to accept it");
                 Err(ReplaceError::NoLeader)
             }
         }
@@ -130,19 +130,20 @@
     /// Waits until this VM has applied a version, which a follower does some time after the leader.
     /// Returns false if that takes too long.
     async fn catch_up(&self, version: Version) -> bool {
-        const LOOK: Duration = Duration::from_millis(5);
-        const LONGEST: Duration = Duration::from_millis(800);
-        let end = self.node.clock.now() + LONGEST;
+        const POLL_INTERVAL: Duration = Duration::from_millis(5);
+        const TIMEOUT: Duration = Duration::from_millis(800);
+        let end = self.node.clock.now() + TIMEOUT;
         while self.node.document().version < version {
             if self.node.clock.now() >= end {
                 return false;
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         true
     }
 
-    fn regions(
+    /// Plans which VMs hold shares of the allowances in each known region.
+    fn plan_regions(
         &self,
         routing: &Routing,
     ) -> std::collections::BTreeMap<RegionId, ebonystand_core::Region> {
@@ -152,13 +153,13 @@
         regions.extend(self.node.settings.gateway.zones.values().cloned());
         regions.extend(routing.regions().cloned());
         regions.extend(live.iter().map(|entry| entry.record.region.clone()));
-        let with_log = live.iter().filter(|entry| entry.record.holds_log);
-        let with_log = with_log.map(|e| (e.record.vm.clone(), e.record.region.clone()));
-        let with_log = with_log.collect::<Vec<_>>();
+        let log_holders = live.iter().filter(|entry| entry.record.holds_log);
+        let log_holders = log_holders.map(|e| (e.record.vm.clone(), e.record.region.clone()));
+        let log_holders = log_holders.collect::<Vec<_>>();
         let document = self.node.document();
         let plan = HolderPlan {
             region_delay: self.node.settings.gateway.region_delay,
-            live: &with_log,
+            live: &log_holders,
             current: &document.regions,
             regions: &regions,
         };
--- a/crates/ebonystand/src/gateway/headers.rs
+++ b/crates/ebonystand/src/gateway/headers.rs
@@ -3,7 +3,8 @@
 use super::*;
 use actix_http::header::{HeaderName, HeaderValue};
 
-const OF_CONNECTION: [&str; 10] = [
+/// Headers that are not passed on to the other side of the gateway.
+const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
     "expect",
@@ -28,7 +29,7 @@
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let text = name.as_str();
-        let is_dropped = OF_CONNECTION.contains(&text)
+        let is_dropped = HOP_BY_HOP.contains(&text)
             || dropped.contains(&text)
             || named.iter().any(|named| named == text);
         if !is_dropped {
--- a/crates/ebonystand/src/gateway/list_controller.rs
+++ b/crates/ebonystand/src/gateway/list_controller.rs
@@ -57,7 +57,7 @@
                     upstreams = upstreams.len();
                     "list of upstreams heard"
                 );
-                let is_new = self.put(node, upstreams);
+                let is_new = self.install(node, upstreams);
                 self.share(node, is_new, &node.gateway.book.borrow().reporters());
             }
             None if is_known => self.share(node, false, &node.gateway.book.borrow().reporters()),
@@ -75,7 +75,7 @@
     }
 
     /// Puts a list in force and returns whether it differs from the previous one.
-    fn put(&self, node: &Node, upstreams: Vec<ListedUpstream>) -> bool {
+    fn install(&self, node: &Node, upstreams: Vec<ListedUpstream>) -> bool {
         let digest = digest(&upstreams);
         let now = node.clock.now();
         let mut book = node.gateway.book.borrow_mut();
@@ -101,8 +101,8 @@
 
     /// Waits after the start of this VM until it knows which VMs of the region can read the list,
     /// the list is overdue, or a list has arrived.
-    async fn meet(node: &Rc<Node>) {
-        const LOOK: Duration = Duration::from_millis(50);
+    async fn discover_readers(node: &Rc<Node>) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(50);
         let this = &node.gateway.list;
         loop {
             let now = node.clock.now();
@@ -111,7 +111,7 @@
             if has_met || this.reader.borrow().is_list_overdue(now) || this.is_known() {
                 return;
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -130,7 +130,7 @@
         let this = &node.gateway.list;
         let every = node.settings.gateway.list_every;
         let (mut failing, mut reading) = (false, false);
-        Self::meet(&node).await;
+        Self::discover_readers(&node).await;
         loop {
             let readers = Self::readers(&node);
             let now = node.clock.now();
@@ -153,7 +153,7 @@
                         log::info!(upstreams = listed.len(); "list of upstreams read");
                     }
                     failing = false;
-                    let is_new = this.put(&node, listed);
+                    let is_new = this.install(&node, listed);
                     let mut peers = node.gateway.book.borrow().reporters();
                     peers.extend(node.gateway.book.borrow().relays());
                     this.share(&node, is_new, &peers);
@@ -204,6 +204,7 @@
     }
 }
 
+/// Hashes a list so that VMs can compare their lists without sending them whole.
 fn digest(upstreams: &[ListedUpstream]) -> u64 {
     match postcard::to_stdvec(upstreams) {
         Ok(bytes) => xxh3_64(&bytes),
--- a/crates/ebonystand/src/gateway/mod.rs
+++ b/crates/ebonystand/src/gateway/mod.rs
@@ -21,7 +21,7 @@
 pub(crate) use {controller::GatewayController, list_controller::ListController};
 
 use {
-    connection::{Answering, Connection},
+    connection::{Connection, ResponseReader},
     connection_pool::ConnectionPool,
 };
 
@@ -46,7 +46,7 @@
 pub(crate) mod receive_forward;
 mod relay;
 mod replace_error;
+mod room_queues;
 pub(crate) mod serve_call;
 mod settings;
-mod turns;
 mod upstream_source;
--- a/crates/ebonystand/src/gateway/native_dialect.rs
+++ b/crates/ebonystand/src/gateway/native_dialect.rs
@@ -10,12 +10,12 @@
 const IMPORT_FROM: &str = "x-ebonystand-import-from";
 const INSTANCE: &str = "x-ebonystand-instance";
 const DEADLINE: &str = "x-ebonystand-deadline-ms";
-const NOT_RUN: &str = "x-ebonystand-run";
+const RUN_STATE: &str = "x-ebonystand-run";
 const PROMPT: &str = "x-ebonystand-prompt";
 const RANK: &str = "x-ebonystand-rank";
 const REQUEST: &str = "x-ebonystand-request";
 const WORKSPACE: &str = "x-ebonystand-workspace";
-const DROPPED: [&str; 7] = [
+const REMOVED_HEADERS: [&str; 7] = [
     "authorization",
     IMPORT_FROM,
     INSTANCE,
@@ -29,7 +29,7 @@
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMarks {
         AnswerMarks {
             is_stranger: status == StatusCode::MISDIRECTED_REQUEST,
-            not_run: headers::text(headers, NOT_RUN) == Some("not_run"),
+            not_run: headers::text(headers, RUN_STATE) == Some("not_run"),
             request: headers::text(headers, REQUEST).map(Into::into),
             slots: None,
         }
@@ -41,17 +41,19 @@
             Some(text) => Some(
                 text.parse()
                     .map(Duration::from_millis)
-                    .map_err(|_| bad(DEADLINE))?,
+                    .map_err(|_| unreadable_header(DEADLINE))?,
             ),
             None => None,
         };
         let prompt = match headers::text(incoming, PROMPT) {
-            Some(text) => Some(serde_json::from_str::<Prompt>(text).map_err(|_| bad(PROMPT))?),
+            Some(text) => {
+                Some(serde_json::from_str::<Prompt>(text).map_err(|_| unreadable_header(PROMPT))?)
+            }
             None => None,
         };
         Ok(CallHead {
             deadline,
-            headers: headers::passed_on(incoming, &DROPPED),
+            headers: headers::passed_on(incoming, &REMOVED_HEADERS),
             host: headers::text(incoming, "host").unwrap_or_default().into(),
             key: authenticate::bearer(incoming).map(KeyHash::from_secret),
             prompt,
@@ -73,7 +75,8 @@
     }
 }
 
-fn bad(name: &str) -> Refusal {
+/// Builds the refusal of a request with a malformed header.
+fn unreadable_header(name: &str) -> Refusal {
     let message = format!("the header {name} cannot be read");
     Refusal::not_run(RefusalCode::BadHeader, message)
 }
--- a/crates/ebonystand/src/gateway/receive_forward.rs
+++ b/crates/ebonystand/src/gateway/receive_forward.rs
@@ -7,10 +7,11 @@
     ebonystand_wire::Forwarded,
     in_flight::InFlight,
     node::Node,
-    relay::Held,
+    relay::RequestResources,
     std::collections::BTreeSet,
 };
 
+/// Answers a request that a VM of another region forwards.
 pub(crate) async fn handle(node: Rc<Node>, mut req: Request) -> Response<BoxBody> {
     let mut payload = req.take_payload();
     let outcome = serve(&node, &req, &mut payload).await;
@@ -19,7 +20,11 @@
             let body = BodyStream::new(Box::pin(answered.relay.into_stream()));
             let mut response = Response::new(answered.status).set_body(body);
             *response.headers_mut() = answered.headers;
-            headers::set(response.headers_mut(), forward::ENDED, forward::BY_UPSTREAM);
+            headers::set(
+                response.headers_mut(),
+                forward::ATTEMPT_END,
+                forward::BY_UPSTREAM,
+            );
             response.map_into_boxed_body()
         }
         Outcome::Ended {
@@ -33,8 +38,8 @@
             });
             headers::set(
                 response.headers_mut(),
-                forward::ENDED,
-                forward::ended_name(end),
+                forward::ATTEMPT_END,
+                forward::attempt_end_name(end),
             );
             if let Some(delay) = retry_after {
                 let seconds = format!("{:.3}", delay.as_secs_f64());
@@ -52,7 +57,7 @@
         Ok(forwarded) => forwarded,
         Err(error) => {
             node.metrics.peer_refused.inc();
-            log::warn!(error:% = error; "metadata header of a forwarded request is invalid");
+            log::warn!(error:% = error; "forwarded request refused: its metadata header is invalid");
             return Outcome::ended(AttemptEnd::Unreachable);
         }
     };
@@ -116,7 +121,7 @@
                 import_tokens = import.as_ref().map_or(0, |source| source.tokens),
                 predicted_ms = predicted.as_millis() as u64; "forwarded request sent"
             );
-            let wait = call.left(node);
+            let wait = call.remaining_time(node);
             let to = Destination {
                 address,
                 import,
@@ -124,17 +129,17 @@
                 unread,
             };
             let outcome = call.send_here(node, &to, wait).await;
-            held(outcome, in_flight)
+            with_in_flight(outcome, in_flight)
         }
         // Nothing was sent to an upstream, so the forwarding VM may try another region.
-        TargetChoice::NoRoom { predicted } => no_room(predicted),
-        TargetChoice::Unavailable { retry_after, .. } => no_room(retry_after),
+        TargetChoice::NoRoom { predicted } => no_room_outcome(predicted),
+        TargetChoice::Unavailable { retry_after, .. } => no_room_outcome(retry_after),
         TargetChoice::OtherRegion { .. } => Outcome::ended(AttemptEnd::Unreachable),
     }
 }
 
 /// Tells the forwarding VM that this region has no room, and when to retry.
-fn no_room(retry_after: Duration) -> Outcome {
+fn no_room_outcome(retry_after: Duration) -> Outcome {
     Outcome::Ended {
         answer: None,
         end: AttemptEnd::Unreachable,
@@ -142,9 +147,12 @@
     }
 }
 
-fn held(mut outcome: Outcome, in_flight: InFlight) -> Outcome {
+/// Keeps the request counted as in flight until its answer has ended.
+fn with_in_flight(mut outcome: Outcome, in_flight: InFlight) -> Outcome {
     if let Outcome::Answered(answered) = &mut outcome {
-        answered.relay.hold(Held::new(in_flight, None));
+        answered
+            .relay
+            .set_resources(RequestResources::new(in_flight, None));
     }
     outcome
 }
--- a/crates/ebonystand/src/gateway/relay.rs
+++ b/crates/ebonystand/src/gateway/relay.rs
@@ -12,13 +12,13 @@
 /// ends or the caller disconnects.
 pub(crate) struct Relay {
     address: SocketAddr,
-    answering: Option<Answering>,
+    reader: Option<ResponseReader>,
     attempt: Option<Attempt>,
     /// Time by which the whole answer is due.
     end: Duration,
     first: Option<Bytes>,
     /// Resources of the request, released when the relay is dropped.
-    _held: Held,
+    _resources: RequestResources,
     instance: UpstreamId,
     /// Whether an engine generates the answer, as a stream of events.
     is_stream: bool,
@@ -34,12 +34,12 @@
 /// Resources that a request holds until its answer has ended. They are released by dropping this
 /// value.
 #[derive(Default)]
-pub(crate) struct Held {
+pub(crate) struct RequestResources {
     _in_flight: Option<InFlight>,
     _reserved: Option<Reserved>,
 }
 
-impl Held {
+impl RequestResources {
     pub(crate) fn new(in_flight: InFlight, reserved: Option<Reserved>) -> Self {
         Self {
             _in_flight: Some(in_flight),
@@ -61,38 +61,38 @@
     /// Pause between the last bytes of an interrupted answer and the close of the caller's
     /// connection. The HTTP server discards unwritten data when a body ends in an error; without
     /// the pause, the caller would lose events or even the head that had already arrived.
-    const LAST_BYTES: Duration = Duration::from_millis(20);
+    const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
     /// Waits for the first bytes of the body. Once they have arrived, the request is not retried if
     /// the answer is streamed.
     pub(crate) async fn start(
         node: &Rc<Node>,
         call: &Call,
-        mut answering: Answering,
+        mut reader: ResponseReader,
         address: SocketAddr,
         instance: &UpstreamId,
         wait: Duration,
     ) -> Result<Self, AttemptEnd> {
-        let first = match actix_rt::time::timeout(wait, answering.next()).await {
+        let first = match actix_rt::time::timeout(wait, reader.next()).await {
             Ok(Ok(first)) => first,
             Ok(Err(fault)) => {
                 log::warn!(request:% = call.request, upstream:% = instance, fault:% = fault; "broke off before its first byte");
                 return Err(AttemptEnd::Lost);
             }
             Err(_) => {
-                node.gateway.pool.give_up(address);
+                node.gateway.pool.close_idle(address);
                 log::warn!(request:% = call.request, upstream:% = instance; "silent before its first byte");
                 return Err(AttemptEnd::TimedOut);
             }
         };
         Ok(Self {
             address,
-            answering: Some(answering),
+            reader: Some(reader),
             attempt: None,
             bytes: 0,
             end: call.end,
             first,
-            _held: Held::default(),
+            _resources: RequestResources::default(),
             instance: instance.clone(),
             is_stream: call.prompt.is_some(),
             node: Rc::clone(node),
@@ -102,9 +102,10 @@
         })
     }
 
-    pub(crate) fn answered(mut self, attempt: Option<Attempt>) -> Answered {
+    /// Attaches the attempt and returns the head of the answer with the relay of its body.
+    pub(crate) fn into_answered(mut self, attempt: Option<Attempt>) -> Answered {
         self.attempt = attempt;
-        let head = self.answering.as_ref().map(Answering::head);
+        let head = self.reader.as_ref().map(ResponseReader::head);
         let (status, headers) = match head {
             Some(head) => (head.status, headers::passed_on(&head.headers, &[])),
             None => (StatusCode::BAD_GATEWAY, HeaderMap::new()),
@@ -118,7 +119,7 @@
 
     /// Records the time to the first token in a workspace's metrics, and has the total time
     /// recorded when the answer ends.
-    pub(crate) fn observe_for(&mut self, workspace: Option<WorkspaceId>) {
+    pub(crate) fn record_latencies_for(&mut self, workspace: Option<WorkspaceId>) {
         let Some(id) = &workspace else { return };
         let waited = self.node.clock.now().saturating_sub(self.started);
         let label = self.node.metrics.workspace(id);
@@ -127,8 +128,8 @@
         self.workspace = workspace;
     }
 
-    pub(crate) fn hold(&mut self, held: Held) {
-        self._held = held;
+    pub(crate) fn set_resources(&mut self, resources: RequestResources) {
+        self._resources = resources;
     }
 
     /// Streams the answer as it arrives. An interrupted answer ends in an error, which closes the
@@ -137,7 +138,7 @@
         stream::unfold(self, |mut relay| async move {
             let item = relay.next().await.transpose()?;
             if item.is_err() {
-                actix_rt::time::sleep(Self::LAST_BYTES).await;
+                actix_rt::time::sleep(Self::FLUSH_DELAY).await;
             }
             Some((item, relay))
         })
@@ -161,17 +162,17 @@
     async fn next(&mut self) -> Result<Option<Bytes>, RelayFault> {
         if let Some(first) = self.first.take() {
             self.bytes += first.len() as u64;
-            self.note_event();
+            self.record_event();
             return Ok(Some(first));
         }
-        let Some(answering) = &mut self.answering else {
+        let Some(reader) = &mut self.reader else {
             return Ok(None);
         };
         let left = self.end.saturating_sub(self.node.clock.now());
-        match actix_rt::time::timeout(left, answering.next()).await {
+        match actix_rt::time::timeout(left, reader.next()).await {
             Ok(Ok(Some(bytes))) => {
                 self.bytes += bytes.len() as u64;
-                self.note_event();
+                self.record_event();
                 Ok(Some(bytes))
             }
             Ok(Ok(None)) => {
@@ -191,19 +192,21 @@
         }
     }
 
-    fn note_event(&mut self) {
+    fn record_event(&mut self) {
         if let Some(attempt) = self.attempt.as_mut().filter(|_| self.is_stream) {
-            attempt.event();
+            attempt.record_event();
         }
     }
 
+    /// Ends the attempt without a whole answer and closes the connection.
     fn abandon(&mut self, end: AttemptEnd) {
-        self.answering = None;
+        self.reader = None;
         if let Some(attempt) = self.attempt.take() {
             attempt.end(end);
         }
     }
 
+    /// Records the whole answer and returns the connection to the pool.
     fn finish(&mut self) {
         let now = self.node.clock.now();
         if let Some(id) = &self.workspace {
@@ -222,16 +225,16 @@
         if let Some(attempt) = self.attempt.take() {
             attempt.end(AttemptEnd::Answered);
         }
-        if let Some(answering) = self.answering.take() {
+        if let Some(reader) = self.reader.take() {
             let pool = &self.node.gateway.pool;
-            pool.put(now, self.address, &self.instance, answering);
+            pool.put(now, self.address, &self.instance, reader);
         }
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if self.answering.is_some() {
+        if self.reader.is_some() {
             log::info!(request:% = self.request, upstream:% = self.instance, bytes = self.bytes; "caller left");
         }
     }
--- a/crates/ebonystand/src/gateway/turns.rs
+++ b/crates/ebonystand/src/gateway/room_queues.rs
@@ -7,54 +7,59 @@
 
 /// Queues of requests that wait until an upstream has room, one for each service.
 #[derive(Default)]
-pub(crate) struct Turns {
+pub(crate) struct RoomQueues {
     entered: tokio::sync::Notify,
     next: Cell<u64>,
     queues: RefCell<FxHashMap<Box<str>, WeightedFairQueue>>,
     waiting: RefCell<FxHashMap<u64, Waiting>>,
 }
 
+/// A waiting request and the channel that ends its wait.
 struct Waiting {
     is_engine: bool,
     tx: Sender<()>,
 }
 
 /// Place of a request in a queue. Dropping it removes the request from the queue.
-struct Place<'a> {
+struct QueuePlace<'a> {
     node: &'a Node,
     number: u64,
     service: &'a str,
 }
 
-impl Turns {
+impl RoomQueues {
     /// Time between two checks for requests that can leave a queue. The start or end of an answer
     /// triggers a check at once; the periodic one finds room that arises just by the passage of
     /// time.
-    const TICK: Duration = Duration::from_millis(20);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-    /// Waits up to `patience` for the request's turn and returns whether it came.
+    /// Waits up to `max_wait` for the request's turn and returns whether it came.
     pub(crate) async fn wait(
         node: &Rc<Node>,
         service: &str,
         rank: u8,
         is_engine: bool,
         work: u64,
-        patience: Duration,
+        max_wait: Duration,
     ) -> bool {
-        let Some((number, rx)) = node.gateway.turns.enter(service, rank, is_engine, work) else {
+        let Some((number, rx)) = node
+            .gateway
+            .room_queues
+            .enqueue(service, rank, is_engine, work)
+        else {
             return false;
         };
-        let _place = Place {
+        let _place = QueuePlace {
             node,
             number,
             service,
         };
-        matches!(actix_rt::time::timeout(patience, rx).await, Ok(Ok(())))
+        matches!(actix_rt::time::timeout(max_wait, rx).await, Ok(Ok(())))
     }
 
     /// Releases the first request of each queue if an upstream has room for it.
     pub(crate) fn advance(node: &Node) {
-        let this = &node.gateway.turns;
+        let this = &node.gateway.room_queues;
         if this.waiting.borrow().is_empty() {
             return;
         }
@@ -83,17 +88,18 @@
 
     /// Checks the queues periodically while requests wait, until the task is dropped.
     pub(crate) async fn run(node: Rc<Node>) {
-        let this = &node.gateway.turns;
+        let this = &node.gateway.room_queues;
         loop {
             if this.waiting.borrow().is_empty() {
                 this.entered.notified().await;
             }
-            actix_rt::time::sleep(Self::TICK).await;
+            actix_rt::time::sleep(Self::POLL_INTERVAL).await;
             Self::advance(&node);
         }
     }
 
-    fn enter(
+    /// Adds a request to the queue of its service; `None` if the queue rejects it.
+    fn enqueue(
         &self,
         service: &str,
         rank: u8,
@@ -116,13 +122,18 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        let turns = &self.node.gateway.turns;
-        if turns.waiting.borrow_mut().remove(&self.number).is_none() {
+        let queues_of_node = &self.node.gateway.room_queues;
+        if queues_of_node
+            .waiting
+            .borrow_mut()
+            .remove(&self.number)
+            .is_none()
+        {
             return;
         }
-        if let Some(queue) = turns.queues.borrow_mut().get_mut(self.service) {
+        if let Some(queue) = queues_of_node.queues.borrow_mut().get_mut(self.service) {
             queue.remove(self.number);
         }
     }
--- a/crates/ebonystand/src/gateway/serve_call.rs
+++ b/crates/ebonystand/src/gateway/serve_call.rs
@@ -14,18 +14,19 @@
 /// Minimum time that a request waits for its workspace's allowance. Borrowing allowance from
 /// another region takes two round trips and some processing. Beyond this minimum, a request waits
 /// for a quarter of its first-byte target at most.
-const BORROWED_WITHIN: Duration = Duration::from_millis(250);
+const MIN_ALLOWANCE_WAIT: Duration = Duration::from_millis(250);
 /// Retry delay for callers of a VM that can't confirm that its configuration is the newest. The VM
 /// can ask for a confirmation several times meanwhile.
 pub(crate) const UNCONFIRMED_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of whether a starting VM can serve.
-const START_LOOK: Duration = Duration::from_millis(20);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest answer, in tokens, that a VM still begins when it is about to stop: less than two
 /// seconds of generation at 7 ms per token.
-const SHORT_ANSWER: Tokens = 256;
+const MAX_ANSWER_WHEN_LEAVING: Tokens = 256;
 /// Longest retry delay for a caller whose workspace is over its quota.
-const LONGEST_QUOTA_RETRY: Duration = Duration::from_secs(5);
+const MAX_QUOTA_RETRY: Duration = Duration::from_secs(5);
 
+/// Answers a caller's request by its route.
 pub(crate) async fn handle(node: Rc<Node>, mut req: Request) -> Response<BoxBody> {
     let mut payload = req.take_payload();
     let served = serve(&node, &req, &mut payload).await;
@@ -34,7 +35,7 @@
         Err(refusal) => {
             node.count_refusal(&refusal);
             body::discard(&node, &mut payload).await;
-            refused(&refusal)
+            refusal_response(&refusal)
         }
     };
     if node.leaving() {
@@ -46,7 +47,7 @@
 
 /// Whether this VM would stop before the end of the answer to a request that arrives now.
 pub(crate) fn would_be_cut_off(node: &Node, prompt: Option<&Prompt>) -> bool {
-    node.lingered() && prompt.is_some_and(|prompt| prompt.output > SHORT_ANSWER)
+    node.lingered() && prompt.is_some_and(|prompt| prompt.output > MAX_ANSWER_WHEN_LEAVING)
 }
 
 /// Returns the path and query of a request, unchanged.
@@ -64,7 +65,7 @@
     let request = head.request.clone();
     let host = head.host.clone();
     let key = head.key;
-    let mut unanswered = Unanswered {
+    let mut disconnect_logger = DisconnectLogger {
         node,
         request: &request,
         since: Some(node.clock.now()),
@@ -73,7 +74,7 @@
         Ok(admitted) => admitted.run(node).await,
         Err(refusal) => Err(refusal),
     };
-    unanswered.since = None;
+    disconnect_logger.since = None;
     served.inspect_err(|refusal| {
         let table = node.gateway.table();
         let route = table.find_route(&host, req.path()).map_or("none", |route| &route.name);
@@ -89,13 +90,13 @@
 
 /// Logs that the caller disconnected if it is dropped before the request is answered; the request's
 /// future is then dropped without a result.
-struct Unanswered<'a> {
+struct DisconnectLogger<'a> {
     node: &'a Node,
     request: &'a str,
     since: Option<Duration>,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for DisconnectLogger<'_> {
     fn drop(&mut self) {
         if let Some(since) = self.since {
             let waited = self.node.clock.now().saturating_sub(since);
@@ -104,6 +105,7 @@
     }
 }
 
+/// Checks a request against this VM's state, the routes, its key and its quota.
 async fn admit(
     node: &Rc<Node>,
     req: &Request,
@@ -112,25 +114,29 @@
 ) -> Result<Admitted, Refusal> {
     let arrived = node.clock.now();
     if node.draining() {
-        return Err(unready(RefusalCode::Draining, "this VM is leaving"));
+        return Err(not_ready_refusal(
+            RefusalCode::Draining,
+            "this VM is leaving",
+        ));
     }
     let limit = node.settings.limits.requests;
-    let in_flight = InFlight::enter(&node.in_flight, limit)
-        .ok_or_else(|| unready(RefusalCode::Overloaded, "this VM has too many requests"))?;
-    let body = started(node, req, payload, head.deadline).await?;
+    let in_flight = InFlight::enter(&node.in_flight, limit).ok_or_else(|| {
+        not_ready_refusal(RefusalCode::Overloaded, "this VM has too many requests")
+    })?;
+    let body = wait_for_start(node, req, payload, head.deadline).await?;
     if !node.gateway.has_routes(node) {
-        let refusal = unready(RefusalCode::NotReady, "this VM has no configuration yet");
-        let soon = start_end(node).saturating_sub(node.clock.now());
+        let refusal = not_ready_refusal(RefusalCode::NotReady, "this VM has no configuration yet");
+        let soon = expected_start_end(node).saturating_sub(node.clock.now());
         return Err(refusal.with_retry_after(soon.max(UNCONFIRMED_RETRY)));
     }
     if would_be_cut_off(node, head.prompt.as_ref()) {
-        return Err(unready(
+        return Err(not_ready_refusal(
             RefusalCode::Draining,
             "this VM is leaving; the answer would be cut off",
         ));
     }
     let table = node.gateway.table();
-    let (route, workspace) = find(node, &table, &head, req.path())?;
+    let (route, workspace) = find_route_and_workspace(node, &table, &head, req.path())?;
     let body = match body {
         Some(body) => body,
         None => body::read(node, req.headers(), payload).await?,
@@ -162,7 +168,7 @@
         excluded: Vec::new(),
         full_regions: BTreeSet::new(),
         headers: head.headers,
-        homes: homes(&route, workspace.as_ref()),
+        homes: allowed_regions(&route, workspace.as_ref()),
         method: req.method().clone(),
         path: path_and_query(req),
         prompt: head.prompt,
@@ -187,9 +193,9 @@
 ///
 /// When all VMs started together, callers retried before the fleet could serve and were refused
 /// again, because a start takes longer than the third of their time that they may wait before a
-/// retry. Holding their requests gives them late answers instead of refusals. During the two
+/// retry. Holding their requests gives them exhausted answers instead of refusals. During the two
 /// seconds of such a start, a region has no other VM that could answer them.
-async fn started(
+async fn wait_for_start(
     node: &Rc<Node>,
     req: &Request,
     payload: &mut Payload,
@@ -199,32 +205,34 @@
         let now = node.clock.now();
         node.gateway.has_routes(node) && node.gateway.confirmed(now)
     };
-    let until = start_until(node, deadline);
+    let until = start_wait_end(node, deadline);
     if is_ready() || node.clock.now() >= until {
         return Ok(None);
     }
     // A caller considers the VM dead if its request is not read.
     let body = body::read(node, req.headers(), payload).await?;
     while !is_ready() && node.clock.now() < until && !node.draining() {
-        actix_rt::time::sleep(START_LOOK).await;
+        actix_rt::time::sleep(START_POLL_INTERVAL).await;
     }
     Ok(Some(body))
 }
 
 /// Returns the time until which a request waits for the start of its VM: the expected end of the
 /// start, or half of the request's own time if that is earlier.
-fn start_until(node: &Node, deadline: Option<Duration>) -> Duration {
+fn start_wait_end(node: &Node, deadline: Option<Duration>) -> Duration {
     let half = deadline.map(|deadline| node.clock.now() + deadline / 2);
-    half.map_or(start_end(node), |half| half.min(start_end(node)))
+    half.map_or(expected_start_end(node), |half| {
+        half.min(expected_start_end(node))
+    })
 }
 
-fn start_end(node: &Node) -> Duration {
+fn expected_start_end(node: &Node) -> Duration {
     node.settings.gateway.start_takes
 }
 
 /// Finds the route and the workspace of a request. Without confirmation that its configuration is
 /// the newest, a VM neither denies that a route or key exists nor accepts a key.
-fn find(
+fn find_route_and_workspace(
     node: &Node,
     table: &RouteTable,
     head: &CallHead,
@@ -234,14 +242,14 @@
     let Some(route) = table.find_route(&head.host, path) else {
         return Err(match confirmed {
             true => Refusal::not_run(RefusalCode::UnknownPath, "no route serves this path"),
-            false => unconfirmed(),
+            false => unconfirmed_refusal(),
         });
     };
     if route.public {
         return Ok((route.clone(), None));
     }
     if !confirmed {
-        return Err(unconfirmed());
+        return Err(unconfirmed_refusal());
     }
     let workspace = head.key.as_ref().and_then(|key| table.workspace(key));
     let workspace = workspace.ok_or_else(|| {
@@ -253,6 +261,7 @@
     Ok((route.clone(), Some(workspace.clone())))
 }
 
+/// Takes the request's tokens from the allowance of a workspace that has a quota.
 async fn reserve(
     node: &Rc<Node>,
     route: &GatewayRoute,
@@ -263,28 +272,28 @@
     let Some(workspace) = workspace.filter(|workspace| workspace.quota.is_some()) else {
         return Ok(None);
     };
-    let patience = Duration::from_millis(route.aim_ms / 4).max(BORROWED_WITHIN);
-    while node.clock.now() < start_until(node, deadline) {
+    let max_wait = Duration::from_millis(route.aim_ms / 4).max(MIN_ALLOWANCE_WAIT);
+    while node.clock.now() < start_wait_end(node, deadline) {
         match AllowanceController::admit(node, &workspace.name, tokens).await {
             Ok(reserved) => return Ok(Some(reserved)),
             // The allowance shares of the holders can't be used until the leases from before their
             // restart have expired.
-            Err(_) => actix_rt::time::sleep(START_LOOK).await,
+            Err(_) => actix_rt::time::sleep(START_POLL_INTERVAL).await,
         }
     }
     let admitted = AllowanceController::admit(node, &workspace.name, tokens);
-    let admitted = actix_rt::time::timeout(patience, admitted).await;
-    let late = || {
+    let admitted = actix_rt::time::timeout(max_wait, admitted).await;
+    let exhausted = || {
         let message = "the workspace has used its allowance, as far as it can be had in time";
         Refusal::not_run(RefusalCode::AllowanceExhausted, message)
     };
-    let reserved = admitted.unwrap_or_else(|_| Err(late())).map_err(|mut refusal| {
+    let reserved = admitted.unwrap_or_else(|_| Err(exhausted())).map_err(|mut refusal| {
         log::info!(
             workspace:% = workspace.name, tokens = tokens, rate = workspace.quota.map_or(0, |q| q.rate),
             burst = workspace.quota.map_or(0, |q| q.burst); "over its quota"
         );
-        let delay = refusal.retry_after.unwrap_or(LONGEST_QUOTA_RETRY);
-        refusal.retry_after = Some(delay.min(LONGEST_QUOTA_RETRY));
+        let delay = refusal.retry_after.unwrap_or(MAX_QUOTA_RETRY);
+        refusal.retry_after = Some(delay.min(MAX_QUOTA_RETRY));
         refusal
     })?;
     Ok(Some(reserved))
@@ -292,7 +301,10 @@
 
 /// Returns the regions that may serve a request: those of the route or of the workspace, or those
 /// in both if both name some. `None` means all regions.
-fn homes(route: &GatewayRoute, workspace: Option<&GatewayWorkspace>) -> Option<BTreeSet<RegionId>> {
+fn allowed_regions(
+    route: &GatewayRoute,
+    workspace: Option<&GatewayWorkspace>,
+) -> Option<BTreeSet<RegionId>> {
     let own = workspace.map(|workspace| &workspace.homes);
     match (&route.homes, own.filter(|homes| !homes.is_empty())) {
         (homes, None) if homes.is_empty() => None,
@@ -302,18 +314,20 @@
     }
 }
 
-pub(crate) fn unconfirmed() -> Refusal {
+/// Builds the refusal of a VM that can't confirm that its configuration is the newest.
+pub(crate) fn unconfirmed_refusal() -> Refusal {
     let message = "this VM has not heard lately whether its configuration is the newest";
-    unready(RefusalCode::NotReady, message)
+    not_ready_refusal(RefusalCode::NotReady, message)
 }
 
-fn unready(code: RefusalCode, message: &str) -> Refusal {
+/// Builds a refusal with the default retry delay, for a request that has not run.
+fn not_ready_refusal(code: RefusalCode, message: &str) -> Refusal {
     Refusal::not_run(code, message).with_retry_after(UNCONFIRMED_RETRY)
 }
 
 /// Builds the response for a refusal. Its `retry-after` has fractions of a second, because a whole
 /// second is most of the time that some requests have.
-fn refused(refusal: &Refusal) -> Response<BoxBody> {
+fn refusal_response(refusal: &Refusal) -> Response<BoxBody> {
     let mut response = respond::refusal(refusal, None);
     if let Some(delay) = refusal.retry_after {
         let seconds = format!("{:.3}", delay.as_secs_f64());
