--- a/crates/ebonystand/src/gateway/room_queues.rs
+++ b/crates/ebonystand/src/gateway/room_queues.rs
@@ -124,8 +124,8 @@
 
 impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        let queues_of_node = &self.node.gateway.room_queues;
-        if queues_of_node
+        let room_queues = &self.node.gateway.room_queues;
+        if room_queues
             .waiting
             .borrow_mut()
             .remove(&self.number)
@@ -133,7 +133,7 @@
         {
             return;
         }
-        if let Some(queue) = queues_of_node.queues.borrow_mut().get_mut(self.service) {
+        if let Some(queue) = room_queues.queues.borrow_mut().get_mut(self.service) {
             queue.remove(self.number);
         }
     }
--- a/crates/ebonystand/src/gateway/serve_call.rs
+++ b/crates/ebonystand/src/gateway/serve_call.rs
@@ -193,7 +193,7 @@
 ///
 /// When all VMs started together, callers retried before the fleet could serve and were refused
 /// again, because a start takes longer than the third of their time that they may wait before a
-/// retry. Holding their requests gives them exhausted answers instead of refusals. During the two
+/// retry. Holding their requests gives them late answers instead of refusals. During the two
 /// seconds of such a start, a region has no other VM that could answer them.
 async fn wait_for_start(
     node: &Rc<Node>,
