--- a/crates/ebonystand-wire/src/error.rs
+++ b/crates/ebonystand-wire/src/error.rs
@@ -1,48 +1,51 @@
 use super::*;
 
-/// Why bytes from a peer were refused.
+/// Error of encoding, decoding or authenticating a message between VMs.
 #[derive(Debug, Snafu)]
 #[snafu(context(suffix(false)), visibility(pub(crate)))]
 pub enum Error {
-    /// The tag does not match: a stranger's bytes, or a frame replayed or reordered.
+    /// The authentication tag doesn't match: the sender doesn't have the fleet's secret, or the frame was
+    /// altered, replayed or reordered.
     #[snafu(display("message is not authentic"))]
-    Authentic,
-    /// The payload is no message of this version.
+    NotAuthentic,
+    /// The message could not be decoded from `postcard`.
     #[snafu(display("message cannot be decoded: {source}"))]
     Decode {
-        /// What the codec says.
+        /// Error from `postcard`.
         source: postcard::Error,
     },
-    /// A compressed payload is damaged.
+    /// The compressed payload is corrupt.
     #[snafu(display("message cannot be decompressed: {source}"))]
     Decompress {
-        /// What the codec says.
+        /// Error from `lz4_flex`.
         source: lz4_flex::block::DecompressError,
     },
-    /// A message cannot be encoded.
+    /// The message could not be encoded in `postcard`.
     #[snafu(display("message cannot be encoded: {source}"))]
     Encode {
-        /// What the codec says.
+        /// Error from `postcard`.
         source: postcard::Error,
     },
-    /// The payload is in no form of this build.
-    #[snafu(display("message is in form {form:?}, of another build of the daemon"))]
-    Form {
-        /// The byte that names the form; none if there is not even that.
-        form: Option<u8>,
+    /// The payload starts with a format byte that this build does not know.
+    #[snafu(display(
+        "message has payload format {format:?}, which belongs to another build of the daemon"
+    ))]
+    UnknownFormat {
+        /// Format byte of the payload; `None` if the payload is empty.
+        format: Option<u8>,
     },
-    /// The fleet's secret is too short to protect anything.
+    /// The fleet's secret is shorter than [`Secret::MIN_LEN`].
     #[snafu(display("secret has {len} bytes; at least {} are needed", Secret::MIN_LEN))]
     SecretLength {
-        /// Its length in bytes.
+        /// Length of the secret in bytes.
         len: usize,
     },
-    /// The frame is larger than any message.
+    /// The frame or the decompressed message exceeds the size limit.
     #[snafu(display("frame of {len} bytes is larger than the limit of {limit}"))]
     TooLarge {
-        /// Announced length in bytes.
+        /// Length of the message in bytes, or the length that its frame declares.
         len: usize,
-        /// Limit in bytes.
+        /// Size limit in bytes.
         limit: usize,
     },
 }
--- a/crates/ebonystand-wire/src/forwarded.rs
+++ b/crates/ebonystand-wire/src/forwarded.rs
@@ -1,41 +1,44 @@
 use super::*;
 
-/// What goes in a header with a request that a VM forwards to a VM of another region, which sends
-/// it to an upstream there and never on to another VM.
+/// Header value that accompanies a request forwarded to a VM of another region.
+///
+/// The receiving VM sends the request to an upstream of its own region and never forwards it again.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Forwarded {
-    /// Time to the first byte that is aimed at, in milliseconds.
+    /// Target time to the first byte of the answer, in milliseconds.
     pub aim_ms: u64,
-    /// Regions that may serve it; `None` if all may.
+    /// Regions that may serve the request; `None` if all may.
     pub homes: Option<BTreeSet<RegionId>>,
-    /// Time left for it, in milliseconds.
+    /// Time until the request's deadline, in milliseconds.
     pub left_ms: u64,
-    /// What it says of its prompt.
+    /// Length, model and parts of the request's prompt; `None` if the request has no prompt.
     pub prompt: Option<Prompt>,
-    /// Rank, 0 being the first.
+    /// Rank of the request's traffic; 0 is served first.
     pub rank: u8,
-    /// Its name, equal at the caller, both VMs and the upstream.
+    /// Request identifier, the same at the caller, both VMs and the upstream.
     pub request: Box<str>,
-    /// Service that serves it.
+    /// Service that the request is routed to.
     pub service: ServiceId,
-    /// Workspace that it runs for.
+    /// Workspace that the request belongs to; `None` if it has none.
     pub workspace: Option<WorkspaceId>,
 }
 
 impl Forwarded {
-    /// Decodes and checks the text of a header.
+    /// Authenticates and decodes the hexadecimal text of the header.
     ///
     /// # Errors
-    /// [`Error::Authentic`] if a stranger made it, or [`Error::Decode`].
+    /// [`Error::NotAuthentic`] if `text` isn't hexadecimal or its tag doesn't match `secret`, or
+    /// [`Error::Decode`].
     pub fn from_header(secret: &Secret, text: &str) -> Result<Self> {
-        let bytes = hex::decode(text).map_err(|_| Error::Authentic)?;
+        let bytes = hex::decode(text).map_err(|_| Error::NotAuthentic)?;
         secret.open_datagram(&bytes)
     }
 
-    /// Text of a header, with a tag that shows that a VM of the fleet made it.
+    /// Encodes the value as the hexadecimal text of the header, with an authentication tag under the
+    /// fleet's secret.
     ///
     /// # Errors
-    /// [`Error::Encode`].
+    /// [`Error::Encode`] if the value cannot be encoded.
     pub fn to_header(&self, secret: &Secret) -> Result<String> {
         Ok(hex::encode(secret.seal_datagram(self)?))
     }
--- a/crates/ebonystand-wire/src/frame_reader.rs
+++ b/crates/ebonystand-wire/src/frame_reader.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Cuts a connection's bytes into messages and checks each of them.
+/// Decoder that splits the bytes of a connection into frames, authenticates each frame and decodes its
+/// message.
 #[derive(Debug)]
 pub struct FrameReader {
     buf: BytesMut,
@@ -11,13 +12,14 @@
 }
 
 impl FrameReader {
-    /// Largest payload of the first frame in bytes. Until its tag is found right, a stranger can
-    /// make the VM hold no more than this.
+    /// Maximum payload of the first frame in bytes. It limits the memory that a sender without the
+    /// fleet's secret can make the VM allocate before the first tag is verified.
     pub const MAX_FIRST_PAYLOAD: usize = 1 << 10;
-    /// Largest message in bytes; a larger announcement ends the connection before it is stored.
+    /// Maximum length of a message in bytes. A frame that declares more is refused before it is buffered,
+    /// and its connection is closed.
     pub const MAX_PAYLOAD: usize = 8 << 20;
 
-    /// Reader of a connection that opened with `nonce`.
+    /// Creates a reader for a connection whose accepting VM sent `nonce`.
     #[must_use]
     pub fn new(secret: Secret, nonce: Nonce) -> Self {
         Self {
@@ -29,21 +31,23 @@
         }
     }
 
-    /// Buffer that the next bytes of the connection go to.
+    /// Returns the buffer to which the caller appends bytes received on the connection.
     pub fn buf(&mut self) -> &mut BytesMut {
         &mut self.buf
     }
 
-    /// The next whole message, or `None` if more bytes are needed.
+    /// Removes the next complete frame from the buffer and returns its message; `None` if the buffer
+    /// holds no complete frame.
     ///
     /// # Errors
-    /// [`Error::Authentic`], [`Error::Decode`] or [`Error::TooLarge`]; the connection is then to
-    /// be closed, since what follows cannot be trusted.
+    /// [`Error::NotAuthentic`], [`Error::Decode`], [`Error::Decompress`], [`Error::UnknownFormat`] or
+    /// [`Error::TooLarge`]. The caller must then close the connection, since the bytes that follow
+    /// cannot be trusted.
     pub fn next_message(&mut self) -> Result<Option<PeerMessage>> {
-        let Some(head) = self.buf.first_chunk::<4>() else {
+        let Some(header) = self.buf.first_chunk::<4>() else {
             return Ok(None);
         };
-        let len = u32::from_be_bytes(*head) as usize;
+        let len = u32::from_be_bytes(*header) as usize;
         if len > self.limit {
             return Err(Error::TooLarge {
                 len,
@@ -57,8 +61,8 @@
         let payload = self.buf.split_to(len);
         let tag = self.buf.split_to(Secret::TAG_LEN);
         let mac = self.secret.frame_mac(&self.nonce, self.sequence, &payload);
-        mac.verify_slice(&tag).map_err(|_| Error::Authentic)?;
-        self.limit = Self::MAX_PAYLOAD + Payload::FORM;
+        mac.verify_slice(&tag).map_err(|_| Error::NotAuthentic)?;
+        self.limit = Self::MAX_PAYLOAD + Payload::FORMAT_LEN;
         self.sequence += 1;
         Payload::decode(&payload).map(Some)
     }
--- a/crates/ebonystand-wire/src/frame_writer.rs
+++ b/crates/ebonystand-wire/src/frame_writer.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Turns messages into frames of one connection.
+/// Encoder that turns messages into authenticated frames of one connection.
 #[derive(Debug)]
 pub struct FrameWriter {
     nonce: Nonce,
@@ -9,7 +9,7 @@
 }
 
 impl FrameWriter {
-    /// Writer to a connection that opened with `nonce`.
+    /// Creates a writer for a connection whose accepting VM sent `nonce`.
     #[must_use]
     pub fn new(secret: Secret, nonce: Nonce) -> Self {
         Self {
@@ -19,10 +19,10 @@
         }
     }
 
-    /// Appends the frame of `message` to `buf`.
+    /// Encodes `message` as the next frame of the connection and appends it to `buf`.
     ///
     /// # Errors
-    /// [`Error::Encode`] or [`Error::TooLarge`]; `buf` is then unchanged.
+    /// [`Error::Encode`] or [`Error::TooLarge`]; `buf` and the sequence number are then unchanged.
     pub fn write(&mut self, message: &PeerMessage, buf: &mut BytesMut) -> Result {
         let payload = Payload::encode(message)?;
         let mac = self.secret.frame_mac(&self.nonce, self.sequence, &payload);
--- a/crates/ebonystand-wire/src/hello.rs
+++ b/crates/ebonystand-wire/src/hello.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// First message of a connection: who speaks.
+/// First message of a connection, which identifies the VM that opened it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// Process of the speaker.
+    /// Incarnation of the sending VM, which changes when the VM starts without its previous state.
     pub incarnation: Incarnation,
-    /// Where the speaker listens for other VMs.
+    /// Address on which the sending VM accepts connections from other VMs.
     pub peer: SocketAddr,
-    /// VM of the speaker.
+    /// Identifier of the sending VM.
     pub vm: VmId,
 }
--- a/crates/ebonystand-wire/src/lib.rs
+++ b/crates/ebonystand-wire/src/lib.rs
@@ -1,9 +1,10 @@
-//! Messages between VMs of the gateway, and how they are framed and authenticated.
+//! Messages between VMs of the gateway, with their encoding, framing and authentication.
 //!
-//! A stream frame is `length: u32 (big endian) | payload | tag: 32 bytes`, the payload being a byte
-//! that names its form and a [`PeerMessage`] in `postcard`, compressed by LZ4 in one of the forms. The tag is an HMAC-SHA-256 over a nonce that the accepting VM
-//! drew for the connection, the frame's sequence number and the payload, under the fleet's
-//! secret. A datagram is `payload | tag`, its tag over the payload alone.
+//! A stream frame is `length: u32 (big endian) | payload | tag: 32 bytes`. The payload is a format byte
+//! followed by a [`PeerMessage`] encoded in `postcard`, plain or compressed with LZ4 depending on the
+//! format byte. The tag is an HMAC-SHA-256 under the fleet's secret over the connection's nonce, which
+//! the accepting VM draws, the frame's sequence number and the payload. A datagram is `payload | tag`,
+//! its tag computed over the payload alone.
 
 use {
     bytes::{Buf, BufMut, BytesMut},
@@ -42,5 +43,5 @@
 mod secret;
 mod send_queue;
 
-/// Result of coding or checking a message.
+/// Result of encoding, decoding or authenticating a message.
 pub type Result<T = (), E = Error> = std::result::Result<T, E>;
--- a/crates/ebonystand-wire/src/nonce.rs
+++ b/crates/ebonystand-wire/src/nonce.rs
@@ -1,13 +1,13 @@
-/// Random bytes that the accepting VM sends first on each connection, so that frames recorded
-/// on one connection are worth nothing on another.
+/// Random bytes that the accepting VM sends at the start of each connection. Every frame's tag covers
+/// them, so that frames recorded on one connection cannot be replayed on another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Nonce([u8; Nonce::LEN]);
 
 impl Nonce {
-    /// Length in bytes.
+    /// Length of a nonce in bytes.
     pub const LEN: usize = 16;
 
-    /// The bytes as they are sent.
+    /// Returns the nonce as the bytes that go over the connection.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8; Self::LEN] {
         &self.0
--- a/crates/ebonystand-wire/src/payload.rs
+++ b/crates/ebonystand-wire/src/payload.rs
@@ -1,28 +1,31 @@
 use super::*;
 
-/// Bytes of a message as a frame carries them: a byte that names the form, then the message.
+/// Codec of a frame's payload: a format byte, then the message, plain or compressed.
 ///
-/// The byte is another one in each build whose messages differ, so that a VM of another build is refused by
-/// name and not misread.
+/// The format bytes change with every build whose messages differ, so that messages of another build are
+/// refused with [`Error::UnknownFormat`] instead of being decoded as the wrong message.
 ///
-/// Names and addresses recur in the messages that are large, such as lists of upstreams and copies
-/// of the configuration. Compressed, a list of 150 upstreams takes less than half of its bytes.
+/// Large messages, such as lists of upstreams and copies of the configuration, repeat names and
+/// addresses and compress well: a list of 150 upstreams shrinks to less than half.
 #[derive(Debug)]
 pub(crate) struct Payload;
 
 impl Payload {
-    const COMPRESSED: u8 = 5;
-    /// Messages of fewer bytes are not worth the work.
-    const COMPRESSED_FROM: usize = 256;
-    /// Bytes that name the form.
-    pub(crate) const FORM: usize = 1;
-    const PLAIN: u8 = 4;
+    /// Format byte of a message compressed with LZ4, with its uncompressed length prepended.
+    const COMPRESSED_FORMAT: u8 = 5;
+    /// Minimum length in bytes of a message that is compressed; shorter messages save too little to be
+    /// worth the CPU time.
+    const MIN_COMPRESSED_LEN: usize = 256;
+    /// Length of the format byte.
+    pub(crate) const FORMAT_LEN: usize = 1;
+    /// Format byte of an uncompressed message.
+    const PLAIN_FORMAT: u8 = 4;
 
     pub(crate) fn decode(payload: &[u8]) -> Result<PeerMessage> {
         match payload {
-            [Self::PLAIN, message @ ..] => Self::read(message),
-            [Self::COMPRESSED, compressed @ ..] => {
-                // The length is checked first, since that many bytes are taken for the message.
+            [Self::PLAIN_FORMAT, message @ ..] => Self::decode_message(message),
+            [Self::COMPRESSED_FORMAT, compressed @ ..] => {
+                // Decompression allocates the declared length, so that the length must be checked first.
                 let (len, _) = lz4_flex::block::uncompressed_size(compressed)
                     .map_err(|source| Error::Decompress { source })?;
                 if len > FrameReader::MAX_PAYLOAD {
@@ -33,10 +36,10 @@
                 }
                 let message = lz4_flex::decompress_size_prepended(compressed)
                     .map_err(|source| Error::Decompress { source })?;
-                Self::read(&message)
+                Self::decode_message(&message)
             }
-            _ => Err(Error::Form {
-                form: payload.first().copied(),
+            _ => Err(Error::UnknownFormat {
+                format: payload.first().copied(),
             }),
         }
     }
@@ -50,21 +53,21 @@
                 limit: FrameReader::MAX_PAYLOAD,
             });
         }
-        let mut payload = Vec::with_capacity(Self::FORM + len);
-        if len >= Self::COMPRESSED_FROM {
+        let mut payload = Vec::with_capacity(Self::FORMAT_LEN + len);
+        if len >= Self::MIN_COMPRESSED_LEN {
             let compressed = lz4_flex::compress_prepend_size(&message);
             if compressed.len() < len {
-                payload.push(Self::COMPRESSED);
+                payload.push(Self::COMPRESSED_FORMAT);
                 payload.extend_from_slice(&compressed);
                 return Ok(payload);
             }
         }
-        payload.push(Self::PLAIN);
+        payload.push(Self::PLAIN_FORMAT);
         payload.extend_from_slice(&message);
         Ok(payload)
     }
 
-    fn read(message: &[u8]) -> Result<PeerMessage> {
+    fn decode_message(message: &[u8]) -> Result<PeerMessage> {
         postcard::from_bytes(message).map_err(|source| Error::Decode { source })
     }
 }
--- a/crates/ebonystand-wire/src/peer_message.rs
+++ b/crates/ebonystand-wire/src/peer_message.rs
@@ -1,91 +1,95 @@
 use super::*;
 
-/// What one VM tells another over a stream. Each may be lost or come late.
+/// Message that one VM sends to another over a stream. Any message may be lost or arrive late.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PeerMessage {
-    /// About allowances.
+    /// Message of the protocol that shares allowances over the fleet.
     Allowance(AllowanceMessage),
-    /// What engines keep of prompts, news since the last message, for a VM of another region.
+    /// Prompt prefixes that engines have cached since the last such message, sent to a VM of another
+    /// region.
     Cached(#[serde(with = "ebonystand_core::cached_news")] Vec<CachedPrefix>),
-    /// Asks whether the sender has the newest configuration.
+    /// Asks a VM which configuration version it has, so that the sender can confirm that its own is the
+    /// newest.
     Confirm {
-        /// When it was asked on the sender's clock, in microseconds; the answer carries it back.
+        /// Time of the question on the sender's clock, in microseconds; the answer repeats it.
         asked_us: u64,
     },
     /// Answers [`Self::Confirm`].
     Confirmed {
-        /// Time that the question carried.
+        /// `asked_us` of the question.
         asked_us: u64,
-        /// The answering VM leads the log and holds a lease, so that no other can have accepted a
-        /// newer version.
+        /// Whether the answering VM leads the replicated log and holds a read lease, so that no other VM
+        /// can have accepted a newer version.
         leading: bool,
-        /// Version in force there.
+        /// Version of the configuration in use at the answering VM.
         version: Version,
     },
-    /// About the configuration.
+    /// Message of the feed that distributes the configuration.
     Feed(Box<FeedMessage>),
-    /// Opens a connection.
+    /// Identifies the sender; the first message of a connection.
     Hello(Hello),
-    /// About the load at upstreams of the region that sender and recipient stand in.
+    /// Load of the upstreams in the region of both sender and recipient.
     Load(LoadMessage),
-    /// Shows that the connection is alive in this direction; answered by a byte.
+    /// Checks that the connection still delivers messages to the recipient, which answers with one byte.
     Ping,
-    /// The list of upstreams as a VM of the same region has read it.
+    /// List of upstreams, as read by a VM of the same region.
     Listed {
-        /// Hash of the list.
+        /// Hash of the list of upstreams.
         digest: u64,
-        /// The list; absent where it has not changed.
+        /// List of upstreams; `None` if it has not changed.
         upstreams: Option<Vec<ListedUpstream>>,
     },
-    /// Asks for the list behind a digest that is not known.
+    /// Asks for the whole list of upstreams, because the digest in [`Self::Listed`] is unknown to the
+    /// sender.
     ListWanted,
-    /// What requests have to expect in the sender's region.
+    /// Predicted latencies of requests in the sender's region.
     Pressure {
-        /// Time to the first byte of an answer and between two events of a stream, by service, in
-        /// milliseconds.
+        /// For each service, the time to the first byte of an answer and the time between two events of
+        /// a stream, both in milliseconds.
         first_byte_and_gap_ms: Vec<(ServiceId, u64, u64)>,
-        /// The region.
+        /// Region that the latencies apply to.
         region: RegionId,
     },
-    /// Asks for a command to be ordered.
+    /// Asks the recipient to propose a command to the replicated log.
     Propose {
-        /// The command.
+        /// Command to append to the log.
         command: Box<Command>,
-        /// Number that the answer carries.
+        /// Identifier of the proposal, which the answer repeats.
         id: u64,
     },
     /// Answers [`Self::Propose`].
     Proposed {
-        /// Number of the question.
+        /// `id` of the proposal.
         id: u64,
-        /// What became of it.
+        /// Result of the proposal.
         proposed: Box<Proposed>,
     },
-    /// About requests that crash upstreams.
+    /// Message of the quarantine of requests that crash upstreams.
     Quarantine(QuarantineMessage),
-    /// Of the replicated log.
+    /// Message between replicas of the replicated log.
     Replica {
-        /// Replica that sends it.
+        /// Member identifier of the sending replica.
         from: MemberId,
-        /// The message.
+        /// Message to the receiving replica.
         message: ReplicaMessage,
     },
 }
 
 impl PeerMessage {
-    /// Bytes taken for a message that cannot be encoded; it is refused when it is sent.
-    const UNKNOWN: usize = 1_024;
+    /// Length in bytes assumed for a message that cannot be encoded. Sending it fails later.
+    const FALLBACK_LEN: usize = 1_024;
 
-    /// Bytes before compression. Those of the most frequent message are estimated: to encode it twice would
-    /// cost more than is gained.
-    pub(crate) fn bytes(&self) -> usize {
+    /// Returns the encoded length in bytes, before compression. For load messages, the most frequent ones,
+    /// it is an estimate: the exact length would mean encoding them twice, which costs more than it gains.
+    pub(crate) fn encoded_len(&self) -> usize {
         match self {
             Self::Load(load) => load.max_encoded_len(),
-            other => postcard::experimental::serialized_size(other).unwrap_or(Self::UNKNOWN),
+            other => postcard::experimental::serialized_size(other).unwrap_or(Self::FALLBACK_LEN),
         }
     }
 
-    /// Whether it may wait for others: it grows with the configuration or the upstreams.
+    /// Returns whether the message grows with the configuration, the upstreams or the cached prefixes, and
+    /// is therefore sent after the short messages.
     pub(crate) fn is_long(&self) -> bool {
         matches!(
             self,
@@ -98,8 +102,8 @@
         )
     }
 
-    /// Whether it tells an older state of the same load.
-    pub(crate) fn is_load_like(&self, load: &LoadMessage) -> bool {
+    /// Returns whether this is a load message of the same kind as `load`, which then replaces it.
+    pub(crate) fn is_replaced_by(&self, load: &LoadMessage) -> bool {
         matches!(self, Self::Load(older) if std::mem::discriminant(older) == std::mem::discriminant(load))
     }
 }
--- a/crates/ebonystand-wire/src/proposed.rs
+++ b/crates/ebonystand-wire/src/proposed.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// What became of a command that was brought to a VM.
+/// Result of proposing a command to a VM for the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Proposed {
-    /// It is committed and applied.
+    /// The command is committed and applied, with this outcome.
     Done(Box<CommandOutcome>),
-    /// The VM does not lead; nothing was appended.
+    /// The VM is not the leader and appended nothing. Contains the leader if the VM knows it.
     Elsewhere(Option<VmId>),
-    /// The VM does not know; the command may still be committed.
+    /// The result is unknown: the VM did not learn whether the command was committed, and it may still
+    /// be.
     Nowhere,
 }
--- a/crates/ebonystand-wire/src/secret.rs
+++ b/crates/ebonystand-wire/src/secret.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// Secret that all VMs of a fleet share.
+/// Key that all VMs of a fleet share and that authenticates the messages between them.
 #[derive(Clone)]
 pub struct Secret(Hmac<Sha256>);
 
 impl Secret {
-    /// Least length in bytes.
+    /// Minimum length of the secret in bytes.
     pub const MIN_LEN: usize = 32;
-    /// Length of a tag in bytes.
+    /// Length of an authentication tag in bytes.
     pub const TAG_LEN: usize = 32;
 
-    /// Secret made of these bytes.
+    /// Creates a secret from `bytes`.
     ///
     /// # Errors
-    /// [`Error::SecretLength`] if there are fewer than [`Self::MIN_LEN`].
+    /// [`Error::SecretLength`] if there are fewer than [`Self::MIN_LEN`] bytes.
     pub fn new(bytes: &[u8]) -> Result<Self> {
         let len = bytes.len();
         if len < Self::MIN_LEN {
@@ -23,23 +23,23 @@
         Ok(Self(mac))
     }
 
-    /// Decodes a datagram after its tag was found right.
+    /// Verifies the tag of a datagram and decodes its payload.
     ///
     /// # Errors
-    /// [`Error::Authentic`] or [`Error::Decode`].
+    /// [`Error::NotAuthentic`] if the tag is missing or doesn't match, or [`Error::Decode`].
     pub fn open_datagram<T: DeserializeOwned>(&self, datagram: &[u8]) -> Result<T> {
         let Some((payload, tag)) = datagram.split_last_chunk::<{ Self::TAG_LEN }>() else {
-            return Err(Error::Authentic);
+            return Err(Error::NotAuthentic);
         };
         let mac = self.0.clone().chain_update(payload);
-        mac.verify_slice(tag).map_err(|_| Error::Authentic)?;
+        mac.verify_slice(tag).map_err(|_| Error::NotAuthentic)?;
         postcard::from_bytes(payload).map_err(|source| Error::Decode { source })
     }
 
-    /// Encodes a datagram with its tag.
+    /// Encodes `message` as a datagram and appends its tag.
     ///
     /// # Errors
-    /// [`Error::Encode`].
+    /// [`Error::Encode`] if the message cannot be encoded.
     pub fn seal_datagram<T: Serialize>(&self, message: &T) -> Result<Vec<u8>> {
         let mut datagram =
             postcard::to_stdvec(message).map_err(|source| Error::Encode { source })?;
@@ -48,6 +48,7 @@
         Ok(datagram)
     }
 
+    /// Returns the MAC of a stream frame before it is finalized, to compute or to verify the tag.
     pub(crate) fn frame_mac(&self, nonce: &Nonce, sequence: u64, payload: &[u8]) -> Hmac<Sha256> {
         let mac = self.0.clone();
         mac.chain_update(nonce.as_bytes())
--- a/crates/ebonystand-wire/src/send_queue.rs
+++ b/crates/ebonystand-wire/src/send_queue.rs
@@ -1,53 +1,60 @@
 use super::*;
 
-/// Messages that wait to be sent to one VM, bounded in bytes.
+/// Queue of messages to be sent to one VM, bounded in bytes.
 ///
-/// A link that is full would otherwise hold seconds of messages, each older than the one behind it, in the
-/// memory of a small VM. The newest state of the load takes the place of one that still waits, and long
-/// messages let short ones pass.
+/// Without the bound, a saturated link would keep seconds of outdated messages in the memory of a small
+/// VM. A new load message replaces the queued one of the same kind, and short messages are sent before
+/// long ones.
 #[derive(Debug, Default)]
 pub struct SendQueue {
-    long: Lane,
-    short: Lane,
+    long: MessageQueue,
+    short: MessageQueue,
 }
 
+/// First-in, first-out queue of either the short or the long messages.
 #[derive(Debug, Default)]
-struct Lane {
+struct MessageQueue {
+    /// Total encoded length of the messages in bytes.
     bytes: usize,
-    /// With their bytes.
+    /// Queued messages, each with its encoded length in bytes.
     messages: VecDeque<(usize, PeerMessage)>,
 }
 
 impl SendQueue {
-    /// Bytes of short messages that wait at most: a fifth of a second of a link of 10 Mbit/s.
-    pub const SHORT_BYTES: usize = 256 << 10;
-    /// Bytes of long messages that wait at most, unless a single one is larger.
-    pub const LONG_BYTES: usize = 1 << 20;
+    /// Maximum length of all queued short messages in bytes; a link of 10 Mbit/s sends as many in a fifth
+    /// of a second.
+    pub const MAX_SHORT_BYTES: usize = 256 << 10;
+    /// Maximum length of all queued long messages in bytes. A single longer message is still queued if no
+    /// other long message is.
+    pub const MAX_LONG_BYTES: usize = 1 << 20;
 
-    /// Whether nothing waits.
+    /// Returns whether the queue has no messages.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Messages that wait.
+    /// Returns the number of queued messages.
     #[must_use]
     pub fn len(&self) -> usize {
         self.long.messages.len() + self.short.messages.len()
     }
 
-    /// Bytes that wait, before compression.
+    /// Returns the total length of the queued messages in bytes, before compression.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.long.bytes + self.short.bytes
     }
 
-    /// Takes a message in; false if there is no room for it.
+    /// Queues a message and returns whether there was room for it. A load message is merged with a queued
+    /// one of the same kind; if the result has no room, both are dropped.
     pub fn push(&mut self, message: PeerMessage) -> bool {
         let message = match message {
             PeerMessage::Load(load) => {
-                let waiting = self.short.take(|waiting| waiting.is_load_like(&load));
-                match waiting {
+                let queued = self
+                    .short
+                    .remove_first(|queued| queued.is_replaced_by(&load));
+                match queued {
                     Some(PeerMessage::Load(older)) => PeerMessage::Load(load.merge_unsent(older)),
                     _ => PeerMessage::Load(load),
                 }
@@ -55,26 +62,26 @@
             other => other,
         };
         match message.is_long() {
-            true => self.long.push(message, Self::LONG_BYTES),
-            false => self.short.push(message, Self::SHORT_BYTES),
+            true => self.long.push(message, Self::MAX_LONG_BYTES),
+            false => self.short.push(message, Self::MAX_SHORT_BYTES),
         }
     }
 
-    /// The message that is to be sent next.
+    /// Removes and returns the next message to send: the oldest short one, else the oldest long one.
     pub fn pop(&mut self) -> Option<PeerMessage> {
         self.short.pop().or_else(|| self.long.pop())
     }
 
-    /// Drops all that waits.
+    /// Removes all messages from the queue.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 }
 
-impl Lane {
-    fn push(&mut self, message: PeerMessage, most: usize) -> bool {
-        let bytes = message.bytes();
-        if !self.messages.is_empty() && self.bytes + bytes > most {
+impl MessageQueue {
+    fn push(&mut self, message: PeerMessage, max_bytes: usize) -> bool {
+        let bytes = message.encoded_len();
+        if !self.messages.is_empty() && self.bytes + bytes > max_bytes {
             return false;
         }
         self.bytes += bytes;
@@ -88,10 +95,10 @@
         Some(message)
     }
 
-    fn take(&mut self, wanted: impl Fn(&PeerMessage) -> bool) -> Option<PeerMessage> {
+    fn remove_first(&mut self, is_match: impl Fn(&PeerMessage) -> bool) -> Option<PeerMessage> {
         let mut messages = self.messages.iter();
-        let place = messages.position(|(_, message)| wanted(message))?;
-        let (bytes, message) = self.messages.remove(place)?;
+        let index = messages.position(|(_, message)| is_match(message))?;
+        let (bytes, message) = self.messages.remove(index)?;
         self.bytes -= bytes;
         Some(message)
     }
--- a/crates/ebonystand-wire/tests/frames.rs
+++ b/crates/ebonystand-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between VMs.
+//! Tests of the framing, compression and authentication of messages between VMs.
 
 use {
     bytes::BytesMut,
@@ -28,8 +28,8 @@
     })
 }
 
-/// A list of upstreams as a region of the largest deployments has it.
-fn list(upstreams: u16) -> PeerMessage {
+/// Returns a list of that many upstreams; regions of the largest deployments have thousands.
+fn listed_message(upstreams: u16) -> PeerMessage {
     let upstream = |number: u16| ListedUpstream {
         address: ([10, 1, (number >> 8) as u8, number as u8], 8_080).into(),
         cold_for: Duration::ZERO,
@@ -45,7 +45,7 @@
     }
 }
 
-fn written(messages: &[PeerMessage]) -> BytesMut {
+fn encode_frames(messages: &[PeerMessage]) -> BytesMut {
     let mut buf = BytesMut::new();
     let mut writer = FrameWriter::new(secret(), nonce());
     for message in messages {
@@ -56,9 +56,15 @@
 
 #[test]
 fn messages_of_any_length_come_back_as_they_were() {
-    let messages = [hello(), PeerMessage::Ping, list(3), list(150), list(5_700)];
+    let messages = [
+        hello(),
+        PeerMessage::Ping,
+        listed_message(3),
+        listed_message(150),
+        listed_message(5_700),
+    ];
     let mut reader = FrameReader::new(secret(), nonce());
-    reader.buf().extend_from_slice(&written(&messages));
+    reader.buf().extend_from_slice(&encode_frames(&messages));
     for message in messages {
         let read = reader.next_message().expect("a sound frame");
         assert_eq!(read, Some(message));
@@ -66,22 +72,23 @@
     assert_eq!(reader.next_message().expect("no frame"), None);
 }
 
-/// Guards against links that are full of lists and copies of the configuration.
+/// Guards against lists of upstreams and copies of the configuration that are sent uncompressed and
+/// saturate the links between VMs.
 #[test]
 fn a_list_of_upstreams_takes_half_of_its_bytes_on_a_link() {
-    let message = list(150);
+    let message = listed_message(150);
     let plain = postcard::to_stdvec(&message).expect("it encodes").len();
-    let frame = written(std::slice::from_ref(&message)).len();
+    let frame = encode_frames(std::slice::from_ref(&message)).len();
     assert!(frame * 2 <= plain, "{frame} of {plain} bytes");
 }
 
-/// Guards against a frame that was changed on its way, in its form or in its bytes.
+/// Guards against accepting a frame that was altered in transit, in its format byte or in the message.
 #[test]
 fn a_changed_frame_is_refused() {
     const HEAD: usize = 4;
-    let first = written(&[hello()]).len();
+    let first = encode_frames(&[hello()]).len();
     for at in [0, 1, 100] {
-        let mut buf = written(&[hello(), list(150)]);
+        let mut buf = encode_frames(&[hello(), listed_message(150)]);
         buf[first + HEAD + at] ^= 1;
         let mut reader = FrameReader::new(secret(), nonce());
         reader.buf().extend_from_slice(&buf);
@@ -90,8 +97,8 @@
     }
 }
 
-/// A VM of an earlier build tells in its own forms, under the same secret. Its messages stand at other numbers and
-/// must not be taken for those of this build.
+/// Guards against misreading messages of an earlier build. They have other format bytes but the same
+/// secret, so that their tags match, and their variant numbers stand for other messages in this build.
 #[rstest]
 #[case(0)]
 #[case(1)]
@@ -109,7 +116,7 @@
     buf.extend_from_slice(&mac.finalize().into_bytes());
     let read = reader.next_message();
     assert!(
-        matches!(read, Err(Error::Form { form: Some(found) }) if found == form),
+        matches!(read, Err(Error::UnknownFormat { format: Some(found) }) if found == form),
         "{read:?}"
     );
 }
--- a/crates/ebonystand-wire/tests/send_queue.rs
+++ b/crates/ebonystand-wire/tests/send_queue.rs
@@ -1,4 +1,4 @@
-//! Messages that wait for a link to another VM.
+//! Tests of the queue of messages to be sent to another VM.
 
 use {
     ebonystand_core::{
@@ -7,8 +7,8 @@
     ebonystand_wire::{PeerMessage, SendQueue},
 };
 
-/// Loads of a region with many upstreams, all with so many requests.
-fn loads(requests: u32) -> UpstreamLoads {
+/// Returns the loads of 300 upstreams of a region, each with `requests` requests in flight.
+fn uniform_loads(requests: u32) -> UpstreamLoads {
     let load = UnderWay {
         requests,
         unread: 10_000,
@@ -18,16 +18,16 @@
         .collect()
 }
 
-fn region(included: u32, cached: Vec<CachedPrefix>) -> PeerMessage {
+fn region_message(included: u32, cached: Vec<CachedPrefix>) -> PeerMessage {
     PeerMessage::Load(LoadMessage::Region {
         cached,
         included,
         region_latencies: Vec::new(),
-        under_way: loads(included),
+        under_way: uniform_loads(included),
     })
 }
 
-fn word(number: u64) -> CachedPrefix {
+fn cached_prefix(number: u64) -> CachedPrefix {
     CachedPrefix {
         homes: None,
         instance: "i-1".into(),
@@ -35,16 +35,19 @@
     }
 }
 
-/// Guards against a relay on a full link that keeps seconds of states of the load in memory, each overtaken by the
-/// next, until its VM has no memory left.
+/// Guards against a relay that runs out of memory: while its link is saturated, it queues seconds of load
+/// messages, each made obsolete by the next.
 #[test]
 fn a_newer_state_of_the_load_takes_the_place_of_one_that_waits() {
     let mut queue = SendQueue::default();
     for number in 0..1_000 {
-        assert!(queue.push(region(number, vec![word(u64::from(number))])));
+        assert!(queue.push(region_message(
+            number,
+            vec![cached_prefix(u64::from(number))]
+        )));
     }
     assert_eq!(queue.len(), 1);
-    assert!(queue.bytes() <= SendQueue::SHORT_BYTES);
+    assert!(queue.bytes() <= SendQueue::MAX_SHORT_BYTES);
     let Some(PeerMessage::Load(LoadMessage::Region {
         cached, included, ..
     })) = queue.pop()
@@ -52,13 +55,13 @@
         panic!("a state of the load");
     };
     assert_eq!(included, 999);
-    let words: Vec<u64> = cached.iter().map(|word| word.prefix).collect();
-    assert_eq!(words, (0..1_000).collect::<Vec<u64>>());
+    let prefixes: Vec<u64> = cached.iter().map(|cached| cached.prefix).collect();
+    assert_eq!(prefixes, (0..1_000).collect::<Vec<u64>>());
     assert!(queue.is_empty());
     assert_eq!(queue.bytes(), 0);
 }
 
-/// Guards against a lease or a heartbeat that waits behind the copy of a large configuration.
+/// Guards against a lease or a heartbeat that is delayed behind a copy of a large configuration.
 #[test]
 fn a_short_message_does_not_wait_behind_long_ones() {
     let mut queue = SendQueue::default();
@@ -71,17 +74,17 @@
     assert_eq!(queue.pop(), Some(first));
 }
 
-/// Guards against a queue that grows without end while a VM takes nothing.
+/// Guards against a queue that grows without limit while the other VM reads nothing.
 #[test]
 fn what_waits_is_bounded_in_bytes() {
     let mut queue = SendQueue::default();
-    let cached = || PeerMessage::Cached((0..1_000).map(word).collect());
+    let cached = || PeerMessage::Cached((0..1_000).map(cached_prefix).collect());
     let long = (0..10_000).filter(|_| queue.push(cached())).count();
     let short = (0..100_000)
         .filter(|_| queue.push(PeerMessage::Confirm { asked_us: u64::MAX }))
         .count();
     assert!(long > 10 && short > 1_000, "{long}, {short}");
-    assert!(queue.bytes() <= SendQueue::LONG_BYTES + SendQueue::SHORT_BYTES);
+    assert!(queue.bytes() <= SendQueue::MAX_LONG_BYTES + SendQueue::MAX_SHORT_BYTES);
     queue.clear();
     assert!(queue.is_empty());
 }
