--- a/crates/ebonystand-fakes/examples/fake_engine.rs
+++ b/crates/ebonystand-fakes/examples/fake_engine.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in for a model engine.
+//! Runs a fake model engine on the given address.
 
 use {
     clap::{Arg, Command, value_parser},
--- a/crates/ebonystand-fakes/examples/fake_registry.rs
+++ b/crates/ebonystand-fakes/examples/fake_registry.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in for a plain service.
+//! Runs a fake service that issues numbers, on the given address.
 
 use {
     clap::{Arg, Command, value_parser},
--- a/crates/ebonystand-fakes/examples/load.rs
+++ b/crates/ebonystand-fakes/examples/load.rs
@@ -1,5 +1,6 @@
-//! Sends completions at a fixed rate and prints how long their first byte and their end took.
-//! With `--entry` it asks the gateway which VMs to use, as callers do, and asks again all the time.
+//! Load generator that sends completions at a fixed rate and prints percentiles of the time to their first
+//! byte and to their end. With `--entry` it fetches the gateway's entry list, as callers do, and refreshes
+//! it throughout the run.
 
 use {
     clap::{Arg, Command, value_parser},
@@ -13,18 +14,22 @@
 };
 
 const DEFAULT_BODY: &str = r#"{"model":"drafter","max_tokens":8,"stream":true,"messages":[{"role":"user","content":"x"}]}"#;
-/// Requests over all that are sent before the figures count.
-const WARM_UP: u64 = 200;
-/// Longest time that is told apart, in microseconds.
-const HIGHEST: u64 = 600_000_000;
+/// Number of requests that are sent first and left out of the latencies.
+const WARM_UP_REQUESTS: u64 = 200;
+/// Upper bound of the recorded latencies, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-struct Figures {
+/// Results of a run: the failed requests, and latencies in microseconds.
+struct RunResults {
     failed: u64,
-    first: Histogram<u64>,
+    /// Time to the first byte.
+    first_byte: Histogram<u64>,
+    /// Time to the end of the answer.
     whole: Histogram<u64>,
 }
 
-struct Plan {
+/// Parameters of a run, with the URLs that its requests are spread over.
+struct LoadPlan {
     body: String,
     count: u64,
     key: String,
@@ -52,7 +57,7 @@
         .get_matches();
     let number = |name| matches.get_one::<u64>(name).copied().unwrap_or(1);
     let string = |name| matches.get_one::<String>(name).cloned().unwrap_or_default();
-    let plan = Plan {
+    let plan = LoadPlan {
         body: string("body"),
         count: number("count"),
         key: string("key"),
@@ -70,25 +75,28 @@
     actix_rt::System::new().block_on(async move {
         let plan = Rc::new(plan);
         if let Some(entry) = entry {
-            follow(&plan, &entry).await;
-            actix_rt::spawn(follow_on(Rc::clone(&plan)));
+            refresh_urls(&plan, &entry).await;
+            actix_rt::spawn(refresh_urls_periodically(Rc::clone(&plan)));
         }
-        run(plan).await;
+        run_load(plan).await;
     });
 }
 
+/// Answer of `/v1/entry`: the VMs that callers should use.
 #[derive(serde::Deserialize)]
 struct EntryList {
     entries: Vec<Entry>,
 }
 
+/// VM in the entry list.
 #[derive(serde::Deserialize)]
 struct Entry {
     address: std::net::SocketAddr,
 }
 
-/// Takes over the entry list of the VM at `base`, if that answers.
-async fn follow(plan: &Plan, base: &str) {
+/// Replaces the URLs by the entry list of the VM at `base`. Keeps them if the VM does not answer or its list
+/// is empty.
+async fn refresh_urls(plan: &LoadPlan, base: &str) {
     let req = awc::Client::new()
         .get(format!("{base}/v1/entry"))
         .bearer_auth(&plan.key);
@@ -105,24 +113,26 @@
     }
 }
 
-async fn follow_on(plan: Rc<Plan>) {
+/// Refreshes the URLs every 200 ms from each VM that they name.
+async fn refresh_urls_periodically(plan: Rc<LoadPlan>) {
     loop {
         actix_rt::time::sleep(Duration::from_millis(200)).await;
         let urls = plan.urls.borrow().clone();
         for url in urls {
-            follow(&plan, url.trim_end_matches("/v1/chat/completions")).await;
+            refresh_urls(&plan, url.trim_end_matches("/v1/chat/completions")).await;
         }
     }
 }
 
-async fn run(plan: Rc<Plan>) {
+/// Sends all requests of the plan on schedule and prints the results.
+async fn run_load(plan: Rc<LoadPlan>) {
     let histogram = || {
-        Histogram::new_with_bounds(1, HIGHEST, 3)
+        Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)
             .unwrap_or_else(|_| unreachable!("the bounds are allowed"))
     };
-    let figures = Rc::new(RefCell::new(Figures {
+    let results = Rc::new(RefCell::new(RunResults {
         failed: 0,
-        first: histogram(),
+        first_byte: histogram(),
         whole: histogram(),
     }));
     let connector = awc::Connector::new().limit(4_096);
@@ -132,24 +142,24 @@
         .finish();
     let started = Instant::now();
     let mut tasks = Vec::new();
-    for n in 0..plan.count + WARM_UP {
+    for n in 0..plan.count + WARM_UP_REQUESTS {
         let due = started
             + Duration::from_secs(1) * u32::try_from(n).unwrap_or(u32::MAX)
                 / u32::try_from(plan.rate).unwrap_or(1);
         actix_rt::time::sleep_until(due.into()).await;
-        let (client, figures, plan) = (client.clone(), Rc::clone(&figures), Rc::clone(&plan));
+        let (client, results, plan) = (client.clone(), Rc::clone(&results), Rc::clone(&plan));
         tasks.push(actix_rt::spawn(async move {
             let url = {
                 let urls = plan.urls.borrow();
                 urls[n as usize % urls.len()].clone()
             };
-            send(&client, &plan, &url, &figures, n >= WARM_UP).await;
+            send_request(&client, &plan, &url, &results, n >= WARM_UP_REQUESTS).await;
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    let figures = figures.borrow();
+    let results = results.borrow();
     let micros = |histogram: &Histogram<u64>| {
         [0.5, 0.95, 0.99, 0.999].map(|q| histogram.value_at_quantile(q))
     };
@@ -157,18 +167,20 @@
         "sent {} at {}/s, failed {}, first byte p50/p95/p99/p99.9 us {:?}, whole {:?}",
         plan.count,
         plan.rate,
-        figures.failed,
-        micros(&figures.first),
-        micros(&figures.whole),
+        results.failed,
+        micros(&results.first_byte),
+        micros(&results.whole),
     );
 }
 
-async fn send(
+/// Sends one request and records its latencies if `is_recorded` is set. An answer without a final `[DONE]` event
+/// counts as failed.
+async fn send_request(
     client: &awc::Client,
-    plan: &Plan,
+    plan: &LoadPlan,
     url: &str,
-    figures: &RefCell<Figures>,
-    counts: bool,
+    results: &RefCell<RunResults>,
+    is_recorded: bool,
 ) {
     let started = Instant::now();
     let req = client.post(url).bearer_auth(&plan.key);
@@ -182,16 +194,16 @@
         }
     }
     let whole = started.elapsed();
-    let mut figures = figures.borrow_mut();
+    let mut results = results.borrow_mut();
     if !tail.ends_with(b"data: [DONE]\n\n") {
-        figures.failed += 1;
+        results.failed += 1;
         return;
     }
-    if counts {
+    if is_recorded {
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-        figures
-            .first
+        results
+            .first_byte
             .saturating_record(micros(first.unwrap_or(whole)));
-        figures.whole.saturating_record(micros(whole));
+        results.whole.saturating_record(micros(whole));
     }
 }
--- a/crates/ebonystand-fakes/src/control.rs
+++ b/crates/ebonystand-fakes/src/control.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What a stand-in does wrong and what it has seen, set and asked over HTTP.
+/// Control interface of a fake upstream: sets its injected fault and reports its request counts over HTTP.
 #[derive(Clone, Default)]
 pub(crate) struct Control {
     pub(crate) fault: Rc<Cell<Fault>>,
@@ -8,15 +8,20 @@
 }
 
 impl Control {
-    /// Answers a request that is for the stand-in itself.
-    pub(crate) async fn handle(&self, req: &mut Request) -> Option<Response<BoxBody>> {
+    /// Answers a request to the control paths `/seen` and `/control`; `None` for every other request.
+    pub(crate) async fn handle_control_request(
+        &self,
+        req: &mut Request,
+    ) -> Option<Response<BoxBody>> {
         match (req.method(), req.path()) {
-            (&Method::GET, "/seen") => Some(server::json(StatusCode::OK, &*self.seen.borrow())),
+            (&Method::GET, "/seen") => {
+                Some(server::json_response(StatusCode::OK, &*self.seen.borrow()))
+            }
             (&Method::POST, "/control") => {
-                let body = server::body(req.take_payload()).await;
+                let body = server::read_body(req.take_payload()).await;
                 let fault = serde_json::from_slice(&body).unwrap_or_default();
                 self.fault.set(fault);
-                Some(server::json(StatusCode::OK, &fault))
+                Some(server::json_response(StatusCode::OK, &fault))
             }
             _ => None,
         }
--- a/crates/ebonystand-fakes/src/engine.rs
+++ b/crates/ebonystand-fakes/src/engine.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Stand-in for a model engine: streams numbered tokens.
+/// Fake model engine that answers each completion with a fixed number of numbered tokens, streamed or
+/// whole.
 #[derive(Clone)]
 pub struct Engine {
     control: Control,
@@ -8,9 +9,10 @@
     running: Rc<Cell<u64>>,
 }
 
+/// Body of a completion request, as far as the fake engine reads it.
 #[derive(Deserialize)]
-struct Prompt {
-    #[serde(default = "Prompt::default_max_tokens")]
+struct CompletionRequest {
+    #[serde(default = "CompletionRequest::default_max_tokens")]
     max_tokens: u64,
     #[serde(default)]
     messages: Vec<serde_json::Value>,
@@ -18,39 +20,41 @@
     stream: bool,
 }
 
-impl Prompt {
+impl CompletionRequest {
     fn default_max_tokens() -> u64 {
         8
     }
 
-    /// JSON text of the last message's content.
-    fn echo(&self) -> Rc<str> {
+    /// Returns the content of the last message as JSON text, which the answer repeats.
+    fn content_to_echo(&self) -> Rc<str> {
         let last = self.messages.last();
         let content = last.map(|message| message["content"].to_string());
         content.unwrap_or_else(|| "null".into()).into()
     }
 }
 
-struct Running {
-    done: bool,
+/// Guard that counts a request as running, and as cancelled if it is dropped before the answer is complete.
+struct RunningRequest {
+    is_finished: bool,
     engine: Engine,
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let running = &self.engine.running;
         running.set(running.get() - 1);
-        if !self.done {
+        if !self.is_finished {
             self.engine.control.seen.borrow_mut().cancelled += 1;
         }
     }
 }
 
 impl Engine {
-    /// A request whose body holds this closes its connection before any byte of an answer.
-    pub const CRASHES: &str = "crash the engine";
+    /// Text that simulates a crash: a request whose body contains it has its connection closed before any
+    /// byte of the answer.
+    pub const CRASH_TRIGGER: &str = "crash the engine";
 
-    /// Engine with these speeds and no fault.
+    /// Creates an engine with `options` and no fault.
     #[must_use]
     pub fn new(options: EngineOptions) -> Self {
         Self {
@@ -60,59 +64,65 @@
         }
     }
 
-    /// Answers one request.
+    /// Answers one HTTP request: control paths, the load report and chat completions.
     pub async fn handle(self, mut req: Request) -> Response<BoxBody> {
-        if let Some(answer) = self.control.handle(&mut req).await {
+        if let Some(answer) = self.control.handle_control_request(&mut req).await {
             return answer;
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::load(self.running.get()),
+            (&Method::GET, "/load") => server::load_response(self.running.get()),
             (&Method::POST, "/v1/chat/completions") => self.complete(req).await,
-            _ => server::json(StatusCode::NOT_FOUND, &"no such path"),
+            _ => server::json_response(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
     async fn complete(self, mut req: Request) -> Response<BoxBody> {
-        let body = server::body(req.take_payload()).await;
+        let body = server::read_body(req.take_payload()).await;
         self.control.seen.borrow_mut().record(&req, &body);
-        let Ok(prompt) = serde_json::from_slice::<Prompt>(&body) else {
-            return server::json(StatusCode::BAD_REQUEST, &"no prompt");
+        let Ok(completion) = serde_json::from_slice::<CompletionRequest>(&body) else {
+            return server::json_response(StatusCode::BAD_REQUEST, &"no prompt");
         };
         self.running.set(self.running.get() + 1);
-        let mut running = Running {
-            done: false,
+        let mut running = RunningRequest {
+            is_finished: false,
             engine: self.clone(),
         };
-        if String::from_utf8_lossy(&body).contains(Self::CRASHES) {
-            // Unwinds the connection's task, which closes the connection.
+        if String::from_utf8_lossy(&body).contains(Self::CRASH_TRIGGER) {
+            // Unwinding ends the connection's task, which closes the connection as a crashing engine would.
             std::panic::resume_unwind(Box::new("crashed"));
         }
         match self.control.fault.get() {
-            Fault::Error => return server::json(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
+            Fault::Error => {
+                return server::json_response(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
+            }
             Fault::Silent => std::future::pending().await,
             Fault::None | Fault::Crash | Fault::Stall | Fault::Truncate => {}
         }
-        if prompt.stream {
-            let events = BodyStream::new(self.events(prompt.max_tokens, prompt.echo(), running));
+        if completion.stream {
+            let events = BodyStream::new(self.events(
+                completion.max_tokens,
+                completion.content_to_echo(),
+                running,
+            ));
             return Response::build(StatusCode::OK)
                 .insert_header(("content-type", "text/event-stream"))
                 .body(events)
                 .map_into_boxed_body();
         }
-        let total = self.options.token * u32::try_from(prompt.max_tokens).unwrap_or(u32::MAX);
+        let total = self.options.token * u32::try_from(completion.max_tokens).unwrap_or(u32::MAX);
         actix_rt::time::sleep(self.options.first_token + total).await;
-        running.done = true;
-        let text = (0..prompt.max_tokens)
+        running.is_finished = true;
+        let text = (0..completion.max_tokens)
             .map(|i| format!("t{i} "))
             .collect::<String>();
-        server::json(
+        server::json_response(
             StatusCode::OK,
             &serde_json::json!({
                 "choices": [{"index": 0, "message": {"role": "assistant", "content": text}}],
-                "echo": prompt.messages.last().map(|message| &message["content"]),
+                "echo": completion.messages.last().map(|message| &message["content"]),
                 "model": &*self.options.name,
-                "usage": {"completion_tokens": prompt.max_tokens},
+                "usage": {"completion_tokens": completion.max_tokens},
             }),
         )
     }
@@ -121,7 +131,7 @@
         self,
         count: u64,
         echo: Rc<str>,
-        running: Running,
+        running: RunningRequest,
     ) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
         stream::unfold((0, running), move |(i, mut running)| {
             let engine = self.clone();
@@ -138,7 +148,7 @@
         i: u64,
         count: u64,
         echo: &str,
-        running: &mut Running,
+        running: &mut RunningRequest,
     ) -> Option<Result<Bytes, std::io::Error>> {
         let options = &self.options;
         let delay = if i == 0 {
@@ -164,7 +174,7 @@
             );
             return Some(Ok(event.into()));
         }
-        running.done = true;
+        running.is_finished = true;
         (i == count).then(|| Ok(Bytes::from_static(b"data: [DONE]\n\n")))
     }
 }
--- a/crates/ebonystand-fakes/src/engine_options.rs
+++ b/crates/ebonystand-fakes/src/engine_options.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// How fast a stand-in engine is.
+/// Speed and name of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Time to first token.
+    /// Time from the request to the first token.
     pub first_token: Duration,
-    /// Name put in its answers.
+    /// Name that the engine reports as `model` in its answers.
     pub name: Box<str>,
-    /// Time between two tokens.
+    /// Time between two successive tokens.
     pub token: Duration,
 }
 
--- a/crates/ebonystand-fakes/src/fault.rs
+++ b/crates/ebonystand-fakes/src/fault.rs
@@ -1,20 +1,21 @@
 use super::*;
 
-/// What a stand-in does wrong.
+/// Fault injected into a fake upstream. A [`Registry`] has no streams and answers `POST` calls only under
+/// [`Self::None`] and [`Self::Error`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// Requests are answered normally.
     #[default]
     None,
-    /// Closes the connection in the middle of the answer.
+    /// The connection closes in the middle of a stream.
     Crash,
-    /// Answers with an error.
+    /// Requests are answered with status 500.
     Error,
-    /// Takes the request and says nothing.
+    /// Requests are read but never answered, while the connection stays open.
     Silent,
-    /// Stops sending in the middle of a stream, the connection staying open.
+    /// A stream stops in the middle, while its connection stays open.
     Stall,
-    /// Ends a stream without its terminator.
+    /// A stream ends in the middle, without its `[DONE]` event.
     Truncate,
 }
--- a/crates/ebonystand-fakes/src/lib.rs
+++ b/crates/ebonystand-fakes/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins for the systems around the gateway, for tests and the quickstart.
+//! Fake upstreams and a fake network relay that stand in for the systems around the gateway, for tests and
+//! the quickstart.
 
 use {
     actix_http::{
--- a/crates/ebonystand-fakes/src/registry.rs
+++ b/crates/ebonystand-fakes/src/registry.rs
@@ -1,42 +1,43 @@
 use super::*;
 
-/// Stand-in for a plain service whose `POST` calls must not run twice: each makes a new number.
+/// Fake service whose `POST` calls must not run twice: each call issues a new number.
 #[derive(Clone, Default)]
 pub struct Registry {
     control: Control,
 }
 
+/// Answer to a `POST` call.
 #[derive(Serialize)]
 struct Issued {
     number: u64,
 }
 
 impl Registry {
-    /// Answers one request.
+    /// Answers one HTTP request: control paths, the load report, lookups with `GET` and issues with `POST`.
     pub async fn handle(self, mut req: Request) -> Response<BoxBody> {
-        if let Some(answer) = self.control.handle(&mut req).await {
+        if let Some(answer) = self.control.handle_control_request(&mut req).await {
             return answer;
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::load(0),
-            (&Method::POST, _) => self.issue(req).await,
+            (&Method::GET, "/load") => server::load_response(0),
+            (&Method::POST, _) => self.issue_number(req).await,
             (&Method::GET, _) => {
                 let body = Bytes::new();
                 self.control.seen.borrow_mut().record(&req, &body);
-                server::json(StatusCode::OK, &serde_json::json!({"found": &*path}))
+                server::json_response(StatusCode::OK, &serde_json::json!({"found": &*path}))
             }
-            _ => server::json(StatusCode::NOT_FOUND, &"no such path"),
+            _ => server::json_response(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
-    async fn issue(self, mut req: Request) -> Response<BoxBody> {
-        let body = server::body(req.take_payload()).await;
+    async fn issue_number(self, mut req: Request) -> Response<BoxBody> {
+        let body = server::read_body(req.take_payload()).await;
         self.control.seen.borrow_mut().record(&req, &body);
         let number = self.control.seen.borrow().requests;
         match self.control.fault.get() {
-            Fault::Error => server::json(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
-            Fault::None => server::json(StatusCode::CREATED, &Issued { number }),
+            Fault::Error => server::json_response(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
+            Fault::None => server::json_response(StatusCode::CREATED, &Issued { number }),
             Fault::Crash | Fault::Silent | Fault::Stall | Fault::Truncate => {
                 std::future::pending().await
             }
--- a/crates/ebonystand-fakes/src/relay.rs
+++ b/crates/ebonystand-fakes/src/relay.rs
@@ -1,43 +1,43 @@
 use super::*;
 
-/// TCP relay before a stand-in that can go silent: connections stay open and carry nothing more,
-/// while new ones work.
+/// TCP relay in front of a fake upstream that can silence its connections, as a network that drops their
+/// packets does: they stay open but carry nothing more, while new ones work.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    epoch: Rc<Cell<u64>>,
-    to: SocketAddr,
+    silence_count: Rc<Cell<u64>>,
+    target: SocketAddr,
 }
 
 impl Relay {
-    /// Relay to `to`.
+    /// Creates a relay that connects to the address `target`.
     #[must_use]
-    pub fn new(to: SocketAddr) -> Self {
+    pub fn new(target: SocketAddr) -> Self {
         Self {
-            epoch: Rc::default(),
-            to,
+            silence_count: Rc::default(),
+            target,
         }
     }
 
-    /// Relays what `listener` accepts.
+    /// Relays each connection that `listener` accepts, until accepting fails.
     pub async fn serve(self, listener: TcpListener) {
         while let Ok((from, _)) = listener.accept().await {
             let relay = self.clone();
-            actix_rt::spawn(async move { relay.carry(from).await });
+            actix_rt::spawn(async move { relay.relay_connection(from).await });
         }
     }
 
-    /// Makes every connection that is open now silent for good.
+    /// Stops all traffic on the connections that are open now, permanently and without closing them.
     pub fn silence(&self) {
-        self.epoch.set(self.epoch.get() + 1);
+        self.silence_count.set(self.silence_count.get() + 1);
     }
 
-    async fn carry(self, mut from: TcpStream) {
-        let epoch = self.epoch.get();
-        let Ok(mut to) = TcpStream::connect(self.to).await else {
+    async fn relay_connection(self, mut from: TcpStream) {
+        let silence_count = self.silence_count.get();
+        let Ok(mut to) = TcpStream::connect(self.target).await else {
             return;
         };
         let silenced = async {
-            while self.epoch.get() == epoch {
+            while self.silence_count.get() == silence_count {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
             }
         };
--- a/crates/ebonystand-fakes/src/seen.rs
+++ b/crates/ebonystand-fakes/src/seen.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// What a stand-in has seen.
+/// Counts of the requests that a fake upstream has received.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Seen {
-    /// Requests that carried credentials of a caller.
+    /// Number of requests with an `authorization` header, which the gateway must not pass on.
     pub credentials: u64,
-    /// Requests that ended before their answer was whole.
+    /// Number of requests that ended before their answer was complete.
     pub cancelled: u64,
-    /// Requests that began to run.
+    /// Number of requests that started to run.
     pub requests: u64,
-    /// Times that each body ran.
+    /// Number of runs of each request body.
     pub runs: BTreeMap<Box<str>, u64>,
-    /// Requests of each workspace.
+    /// Number of requests of each workspace; `none` for those without one.
     pub workspaces: BTreeMap<Box<str>, u64>,
 }
 
 impl Seen {
+    /// Counts a request that starts to run.
     pub(crate) fn record(&mut self, req: &Request, body: &Bytes) {
         let headers = req.headers();
         self.requests += 1;
--- a/crates/ebonystand-fakes/src/server.rs
+++ b/crates/ebonystand-fakes/src/server.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Serves HTTP on `listener` until the task is dropped.
+/// Serves HTTP/1 on `listener` with `handler` until the task is dropped or accepting fails.
 pub async fn serve<F, R>(listener: TcpListener, handler: F)
 where
     F: Fn(Request) -> R + Clone + 'static,
@@ -25,8 +25,8 @@
     }
 }
 
-/// Whole body of a request; what was read if the caller left.
-pub(crate) async fn body(mut payload: Payload) -> Bytes {
+/// Reads the body of a request to its end, or up to the point where the caller disconnects.
+pub(crate) async fn read_body(mut payload: Payload) -> Bytes {
     let mut buf = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let Ok(chunk): Result<Bytes, PayloadError> = chunk else {
@@ -37,8 +37,8 @@
     buf.freeze()
 }
 
-/// JSON answer.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<BoxBody> {
+/// Returns a response with `value` as its JSON body.
+pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<BoxBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     Response::build(status)
         .insert_header(("content-type", "application/json"))
@@ -46,8 +46,8 @@
         .map_into_boxed_body()
 }
 
-/// Answer to the question how much runs here; nothing waits.
-pub(crate) fn load(running: u64) -> Response<BoxBody> {
+/// Returns the load report of an upstream with `running` requests and an empty queue.
+pub(crate) fn load_response(running: u64) -> Response<BoxBody> {
     #[derive(Serialize)]
     struct Load {
         queued_tokens: u64,
@@ -57,5 +57,5 @@
         queued_tokens: 0,
         running,
     };
-    json(StatusCode::OK, &load)
+    json_response(StatusCode::OK, &load)
 }
--- a/crates/ebonystand/tests/integration/faults.rs
+++ b/crates/ebonystand/tests/integration/faults.rs
@@ -70,7 +70,7 @@
 #[actix_rt::test]
 async fn a_request_that_crashes_engines_crashes_two_at_most() {
     let fleet = small_fleet(3, 4, EngineOptions::default(), |_| ()).await;
-    let body = chat(Engine::CRASHES, 4, true);
+    let body = chat(Engine::CRASH_TRIGGER, 4, true);
     for vm in fleet.vms.iter().cycle().take(12) {
         let answer = vm.call(KEY, "POST", CHAT, &body).await;
         assert!(answer.status >= 400, "{answer:?}");
