--- a/crates/ebonystand-fakes/src/engine.rs
+++ b/crates/ebonystand-fakes/src/engine.rs
@@ -11,8 +11,8 @@
 
 /// Body of a completion request, as far as the fake engine reads it.
 #[derive(Deserialize)]
-struct CompletionRequest {
-    #[serde(default = "CompletionRequest::default_max_tokens")]
+struct Prompt {
+    #[serde(default = "Prompt::default_max_tokens")]
     max_tokens: u64,
     #[serde(default)]
     messages: Vec<serde_json::Value>,
@@ -20,7 +20,7 @@
     stream: bool,
 }
 
-impl CompletionRequest {
+impl Prompt {
     fn default_max_tokens() -> u64 {
         8
     }
@@ -71,17 +71,17 @@
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::load_response(self.running.get()),
+            (&Method::GET, "/load") => server::respond_load(self.running.get()),
             (&Method::POST, "/v1/chat/completions") => self.complete(req).await,
-            _ => server::json_response(StatusCode::NOT_FOUND, &"no such path"),
+            _ => server::respond_json(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
     async fn complete(self, mut req: Request) -> Response<BoxBody> {
         let body = server::read_body(req.take_payload()).await;
         self.control.seen.borrow_mut().record(&req, &body);
-        let Ok(completion) = serde_json::from_slice::<CompletionRequest>(&body) else {
-            return server::json_response(StatusCode::BAD_REQUEST, &"no prompt");
+        let Ok(prompt) = serde_json::from_slice::<Prompt>(&body) else {
+            return server::respond_json(StatusCode::BAD_REQUEST, &"no prompt");
         };
         self.running.set(self.running.get() + 1);
         let mut running = RunningRequest {
@@ -94,35 +94,32 @@
         }
         match self.control.fault.get() {
             Fault::Error => {
-                return server::json_response(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
+                return server::respond_json(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
             }
             Fault::Silent => std::future::pending().await,
             Fault::None | Fault::Crash | Fault::Stall | Fault::Truncate => {}
         }
-        if completion.stream {
-            let events = BodyStream::new(self.events(
-                completion.max_tokens,
-                completion.content_to_echo(),
-                running,
-            ));
+        if prompt.stream {
+            let events =
+                BodyStream::new(self.events(prompt.max_tokens, prompt.content_to_echo(), running));
             return Response::build(StatusCode::OK)
                 .insert_header(("content-type", "text/event-stream"))
                 .body(events)
                 .map_into_boxed_body();
         }
-        let total = self.options.token * u32::try_from(completion.max_tokens).unwrap_or(u32::MAX);
+        let total = self.options.token * u32::try_from(prompt.max_tokens).unwrap_or(u32::MAX);
         actix_rt::time::sleep(self.options.first_token + total).await;
         running.is_finished = true;
-        let text = (0..completion.max_tokens)
+        let text = (0..prompt.max_tokens)
             .map(|i| format!("t{i} "))
             .collect::<String>();
-        server::json_response(
+        server::respond_json(
             StatusCode::OK,
             &serde_json::json!({
                 "choices": [{"index": 0, "message": {"role": "assistant", "content": text}}],
-                "echo": completion.messages.last().map(|message| &message["content"]),
+                "echo": prompt.messages.last().map(|message| &message["content"]),
                 "model": &*self.options.name,
-                "usage": {"completion_tokens": completion.max_tokens},
+                "usage": {"completion_tokens": prompt.max_tokens},
             }),
         )
     }
