--- a/crates/ebonystand-fakes/src/engine.rs
+++ b/crates/ebonystand-fakes/src/engine.rs
@@ -71,17 +71,17 @@
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::respond_load(self.running.get()),
-            (&Method::POST, "/v1/chat/completions") => self.complete(req).await,
-            _ => server::respond_json(StatusCode::NOT_FOUND, &"no such path"),
+            (&Method::GET, "/load") => server::build_load(self.running.get()),
+            (&Method::POST, "/v1/chat/completions") => self.handle_completion(req).await,
+            _ => server::build_json(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
-    async fn complete(self, mut req: Request) -> Response<BoxBody> {
+    async fn handle_completion(self, mut req: Request) -> Response<BoxBody> {
         let body = server::read_body(req.take_payload()).await;
         self.control.seen.borrow_mut().record(&req, &body);
         let Ok(prompt) = serde_json::from_slice::<Prompt>(&body) else {
-            return server::respond_json(StatusCode::BAD_REQUEST, &"no prompt");
+            return server::build_json(StatusCode::BAD_REQUEST, &"no prompt");
         };
         self.running.set(self.running.get() + 1);
         let mut running = RunningRequest {
@@ -94,14 +94,17 @@
         }
         match self.control.fault.get() {
             Fault::Error => {
-                return server::respond_json(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
+                return server::build_json(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
             }
             Fault::Silent => std::future::pending().await,
             Fault::None | Fault::Crash | Fault::Stall | Fault::Truncate => {}
         }
         if prompt.stream {
-            let events =
-                BodyStream::new(self.events(prompt.max_tokens, prompt.content_to_echo(), running));
+            let events = BodyStream::new(self.stream_events(
+                prompt.max_tokens,
+                prompt.content_to_echo(),
+                running,
+            ));
             return Response::build(StatusCode::OK)
                 .insert_header(("content-type", "text/event-stream"))
                 .body(events)
@@ -113,7 +116,7 @@
         let text = (0..prompt.max_tokens)
             .map(|i| format!("t{i} "))
             .collect::<String>();
-        server::respond_json(
+        server::build_json(
             StatusCode::OK,
             &serde_json::json!({
                 "choices": [{"index": 0, "message": {"role": "assistant", "content": text}}],
@@ -124,7 +127,8 @@
         )
     }
 
-    fn events(
+    /// Returns the events of a streamed answer with `count` tokens, subject to the injected fault.
+    fn stream_events(
         self,
         count: u64,
         echo: Rc<str>,
@@ -134,13 +138,14 @@
             let engine = self.clone();
             let echo = Rc::clone(&echo);
             async move {
-                let item = engine.event(i, count, &echo, &mut running).await?;
+                let item = engine.next_event(i, count, &echo, &mut running).await?;
                 Some((item, (i + 1, running)))
             }
         })
     }
 
-    async fn event(
+    /// Waits for token `i` and returns its event, or `[DONE]` after the last token; `None` ends the stream.
+    async fn next_event(
         &self,
         i: u64,
         count: u64,
