--- a/crates/ebonystand-fakes/src/control.rs
+++ b/crates/ebonystand-fakes/src/control.rs
@@ -14,14 +14,12 @@
         req: &mut Request,
     ) -> Option<Response<BoxBody>> {
         match (req.method(), req.path()) {
-            (&Method::GET, "/seen") => {
-                Some(server::build_json(StatusCode::OK, &*self.seen.borrow()))
-            }
+            (&Method::GET, "/seen") => Some(server::respond(StatusCode::OK, &*self.seen.borrow())),
             (&Method::POST, "/control") => {
                 let body = server::read_body(req.take_payload()).await;
                 let fault = serde_json::from_slice(&body).unwrap_or_default();
                 self.fault.set(fault);
-                Some(server::build_json(StatusCode::OK, &fault))
+                Some(server::respond(StatusCode::OK, &fault))
             }
             _ => None,
         }
--- a/crates/ebonystand-fakes/src/engine.rs
+++ b/crates/ebonystand-fakes/src/engine.rs
@@ -71,9 +71,9 @@
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::build_load(self.running.get()),
+            (&Method::GET, "/load") => server::report_load(self.running.get()),
             (&Method::POST, "/v1/chat/completions") => self.handle_completion(req).await,
-            _ => server::build_json(StatusCode::NOT_FOUND, &"no such path"),
+            _ => server::respond(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
@@ -81,7 +81,7 @@
         let body = server::read_body(req.take_payload()).await;
         self.control.seen.borrow_mut().record(&req, &body);
         let Ok(prompt) = serde_json::from_slice::<Prompt>(&body) else {
-            return server::build_json(StatusCode::BAD_REQUEST, &"no prompt");
+            return server::respond(StatusCode::BAD_REQUEST, &"no prompt");
         };
         self.running.set(self.running.get() + 1);
         let mut running = RunningRequest {
@@ -93,9 +93,7 @@
             std::panic::resume_unwind(Box::new("crashed"));
         }
         match self.control.fault.get() {
-            Fault::Error => {
-                return server::build_json(StatusCode::INTERNAL_SERVER_ERROR, &"broken");
-            }
+            Fault::Error => return server::respond(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
             Fault::Silent => std::future::pending().await,
             Fault::None | Fault::Crash | Fault::Stall | Fault::Truncate => {}
         }
@@ -116,7 +114,7 @@
         let text = (0..prompt.max_tokens)
             .map(|i| format!("t{i} "))
             .collect::<String>();
-        server::build_json(
+        server::respond(
             StatusCode::OK,
             &serde_json::json!({
                 "choices": [{"index": 0, "message": {"role": "assistant", "content": text}}],
--- a/crates/ebonystand-fakes/src/registry.rs
+++ b/crates/ebonystand-fakes/src/registry.rs
@@ -20,14 +20,14 @@
         }
         let path: Box<str> = req.path().into();
         match (req.method(), &*path) {
-            (&Method::GET, "/load") => server::build_load(0),
+            (&Method::GET, "/load") => server::report_load(0),
             (&Method::POST, _) => self.issue_number(req).await,
             (&Method::GET, _) => {
                 let body = Bytes::new();
                 self.control.seen.borrow_mut().record(&req, &body);
-                server::build_json(StatusCode::OK, &serde_json::json!({"found": &*path}))
+                server::respond(StatusCode::OK, &serde_json::json!({"found": &*path}))
             }
-            _ => server::build_json(StatusCode::NOT_FOUND, &"no such path"),
+            _ => server::respond(StatusCode::NOT_FOUND, &"no such path"),
         }
     }
 
@@ -36,8 +36,8 @@
         self.control.seen.borrow_mut().record(&req, &body);
         let number = self.control.seen.borrow().requests;
         match self.control.fault.get() {
-            Fault::Error => server::build_json(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
-            Fault::None => server::build_json(StatusCode::CREATED, &Issued { number }),
+            Fault::Error => server::respond(StatusCode::INTERNAL_SERVER_ERROR, &"broken"),
+            Fault::None => server::respond(StatusCode::CREATED, &Issued { number }),
             Fault::Crash | Fault::Silent | Fault::Stall | Fault::Truncate => {
                 std::future::pending().await
             }
--- a/crates/ebonystand-fakes/src/server.rs
+++ b/crates/ebonystand-fakes/src/server.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns a response with `value` as its JSON body.
-pub(crate) fn build_json<T: Serialize>(status: StatusCode, value: &T) -> Response<BoxBody> {
+pub(crate) fn respond<T: Serialize>(status: StatusCode, value: &T) -> Response<BoxBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     Response::build(status)
         .insert_header(("content-type", "application/json"))
@@ -47,7 +47,7 @@
 }
 
 /// Returns the load report of an upstream with `running` requests and an empty queue.
-pub(crate) fn build_load(running: u64) -> Response<BoxBody> {
+pub(crate) fn report_load(running: u64) -> Response<BoxBody> {
     #[derive(Serialize)]
     struct Load {
         queued_tokens: u64,
@@ -57,5 +57,5 @@
         queued_tokens: 0,
         running,
     };
-    build_json(StatusCode::OK, &load)
+    respond(StatusCode::OK, &load)
 }
--- a/crates/ebonystand-wire/src/forwarded.rs
+++ b/crates/ebonystand-wire/src/forwarded.rs
@@ -13,7 +13,7 @@
     pub left_ms: u64,
     /// Length, model and parts of the request's prompt; `None` if the request has no prompt.
     pub prompt: Option<Prompt>,
-    /// Rank of the request's traffic; 0 is served first.
+    /// Priority rank of the request; 0 is served first.
     pub rank: u8,
     /// Request identifier, the same at the caller, both VMs and the upstream.
     pub request: Box<str>,
--- a/crates/ebonystand-wire/src/payload.rs
+++ b/crates/ebonystand-wire/src/payload.rs
@@ -16,7 +16,7 @@
     /// Minimum length in bytes of a message that is compressed; shorter messages save too little to be
     /// worth the CPU time.
     const MIN_COMPRESSED_LEN: usize = 256;
-    /// Length of the format byte.
+    /// Length of the format byte at the start of each payload, in bytes.
     pub(crate) const FORMAT_LEN: usize = 1;
     /// Format byte of an uncompressed message.
     const PLAIN_FORMAT: u8 = 4;
