--- a/crates/ebonystandctl/src/apply.rs
+++ b/crates/ebonystandctl/src/apply.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Puts a document in force.
+/// Arguments of `apply`, which puts a configuration document in force.
 #[derive(Clone, Debug)]
 pub(crate) struct Apply {
     args: ChangeArgs,
@@ -22,7 +22,7 @@
     pub(crate) fn from_matches(matches: &ArgMatches) -> Self {
         Self {
             args: ChangeArgs::from_matches(matches),
-            file: check::file(matches),
+            file: check::file_path(matches),
         }
     }
 
--- a/crates/ebonystandctl/src/attempt.rs
+++ b/crates/ebonystandctl/src/attempt_error.rs
@@ -3,26 +3,27 @@
     awc::error::{ConnectError, SendRequestError},
 };
 
-/// One VM that did not carry a request out.
+/// Failure of one VM to answer a request; another VM may still answer it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub(crate) enum Attempt {
-    /// It could not be connected to, so that it has not seen the request.
+pub(crate) enum AttemptError {
+    /// The VM's URL is invalid or the connection failed before the request was sent, so the VM has
+    /// not seen it.
     #[snafu(display("{server}: {source}"))]
     Connect {
         server: Box<str>,
         source: SendRequestError,
     },
-    /// It answers what this client does not understand.
+    /// The VM sent an answer that is too large, incomplete or not the expected JSON.
     #[snafu(display("{server}: HTTP {status} with an answer that is not understood"))]
-    Garbled { server: Box<str>, status: u16 },
-    /// It was sent the request, and the answer did not come.
+    UnrecognizedAnswer { server: Box<str>, status: u16 },
+    /// The request was sent, but no answer arrived; the VM may have executed the request.
     #[snafu(display("{server}: no answer: {source}"))]
     Lost {
         server: Box<str>,
         source: SendRequestError,
     },
-    /// It reaches no leader.
+    /// The VM reached no leader of the configuration's log.
     #[snafu(display("{server}: {source}"))]
     NoLeader {
         server: Box<str>,
@@ -30,12 +31,12 @@
     },
 }
 
-impl Attempt {
-    /// Whether the VM may have carried the request out all the same.
+impl AttemptError {
+    /// Returns whether the VM may have executed the request despite the failure.
     pub(crate) fn may_have_run(&self) -> bool {
         match self {
             Self::Connect { .. } => false,
-            Self::Garbled { .. } | Self::Lost { .. } => true,
+            Self::UnrecognizedAnswer { .. } | Self::Lost { .. } => true,
             Self::NoLeader { source, .. } => matches!(
                 source,
                 OperatorError::NoLeader {
@@ -45,11 +46,12 @@
         }
     }
 
-    /// Tells a VM that cannot have seen the request from one that may have.
+    /// Classifies a send error by whether the VM may have seen the request.
     ///
-    /// A connection that is closed after the request was sent is reported as a failure to connect
-    /// too, as `Disconnected`. Taken for one, a change that was made would be told as not made.
-    pub(crate) fn of(server: &str, source: SendRequestError) -> Self {
+    /// The HTTP client also reports a connection that closes after the request was sent as a
+    /// connect error, `Disconnected`. Treating it as a failure to connect would report a change as
+    /// not made although it was.
+    pub(crate) fn from_send_error(server: &str, source: SendRequestError) -> Self {
         let server = server.into();
         match source {
             SendRequestError::Connect(ConnectError::Disconnected) => Self::Lost { server, source },
--- a/crates/ebonystandctl/src/change_args.rs
+++ b/crates/ebonystandctl/src/change_args.rs
@@ -1,16 +1,18 @@
 use super::*;
 
-/// How a change is to be ordered among others.
+/// Arguments that guard a change against concurrent changes and against being made twice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChangeArgs {
-    /// Version that the operator has seen; that of a VM just before if absent.
+    /// Version that must be in force for the change to be made; if absent, the version that a VM
+    /// reports just before the change is sent.
     pub(crate) expected_version: Option<Version>,
-    /// Name of the request; drawn if absent.
+    /// Id under which the change can be sent again without being made twice; random if absent.
     pub(crate) request_id: Option<RequestId>,
 }
 
 impl ChangeArgs {
-    /// The arguments of a change that may be sent again.
+    /// Returns the arguments of a change that can be sent again: `--expected-version` and
+    /// `--request-id`.
     pub(crate) fn args() -> [Arg; 2] {
         [
             Self::expected_version(),
@@ -21,7 +23,7 @@
         ]
     }
 
-    /// The version argument.
+    /// Returns the `--expected-version` argument, also for changes that take no request id.
     pub(crate) fn expected_version() -> Arg {
         Arg::new(config::arg::EXPECTED_VERSION)
             .long(config::arg::EXPECTED_VERSION)
--- a/crates/ebonystandctl/src/check.rs
+++ b/crates/ebonystandctl/src/check.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Finds the faults of a document without asking a VM.
+/// Arguments of `check`, which prints the faults of a document file without asking a VM.
 #[derive(Clone, Debug)]
 pub(crate) struct Check {
     file: PathBuf,
@@ -16,7 +16,7 @@
 
     pub(crate) fn from_matches(matches: &ArgMatches) -> Self {
         Self {
-            file: file(matches),
+            file: file_path(matches),
         }
     }
 
@@ -29,7 +29,7 @@
     }
 }
 
-pub(crate) fn file(matches: &ArgMatches) -> PathBuf {
+pub(crate) fn file_path(matches: &ArgMatches) -> PathBuf {
     let file = matches.get_one::<PathBuf>(config::arg::FILE);
     file.cloned().unwrap_or_default()
 }
--- a/crates/ebonystandctl/src/client.rs
+++ b/crates/ebonystandctl/src/client.rs
@@ -1,6 +1,6 @@
 use {super::*, awc::http::Method, serde::de::DeserializeOwned};
 
-/// The operators' HTTP API, asked of one VM after another.
+/// HTTP client of the operators' API, which fails over from one VM to the next.
 pub(crate) struct Client {
     credential: Box<str>,
     http: awc::Client,
@@ -8,11 +8,12 @@
 }
 
 impl Client {
-    /// Default wait for a VM's answer.
-    pub(crate) const TIMEOUT_SECONDS: u64 = 10;
+    /// Default time to connect to a VM, and to wait for its answer, in seconds.
+    pub(crate) const DEFAULT_TIMEOUT_SECONDS: u64 = 10;
 
-    /// Largest answer: a document of 36,000 workspaces with their keys takes some 20 MB.
-    const ANSWER_BYTES: usize = 128 << 20;
+    /// Largest accepted size of an answer. A document of 36,000 workspaces with their keys takes
+    /// about 20 MB.
+    const MAX_ANSWER_BYTES: usize = 128 << 20;
     const REQUEST_ID_BYTES: usize = 16;
 
     pub(crate) fn new(servers: Vec<Box<str>>, credential: Box<str>, timeout: Duration) -> Self {
@@ -25,10 +26,12 @@
         }
     }
 
-    /// Sends a change until a VM answers; the version that it made.
+    /// Sends a change to one VM after another until one answers, and returns the version that the
+    /// change created.
     ///
-    /// Each VM gets the same request id. When the first one's answer is lost and the second one
-    /// takes the change again, the log gives the first outcome and makes nothing twice.
+    /// Every VM gets the same request id. If the answer of the first VM is lost and the second VM
+    /// proposes the change again, the log returns the outcome of the first proposal and does not
+    /// apply the change twice.
     pub(crate) async fn change(&self, change: Change, args: &ChangeArgs) -> Result<Version> {
         let expected_version = match args.expected_version {
             Some(version) => version,
@@ -36,19 +39,23 @@
         };
         let request_id = match &args.request_id {
             Some(id) => id.clone(),
-            None => draw_hex::<{ Self::REQUEST_ID_BYTES }>()?.into(),
+            None => random_hex::<{ Self::REQUEST_ID_BYTES }>()?.into(),
         };
         let req = ChangeRequest {
             change,
             expected_version: Some(expected_version),
             request_id: request_id.clone(),
         };
-        let outcome = self.send(&Method::POST, OPERATOR_CHANGES, Some(&req)).await;
+        let outcome = self
+            .send_with_failover(&Method::POST, OPERATOR_CHANGES, Some(&req))
+            .await;
         match outcome {
             Ok(ChangeOutcome::Accepted { version }) => Ok(version),
             Ok(ChangeOutcome::Conflict { version }) => error::ConflictSnafu { version }.fail(),
             Ok(ChangeOutcome::Refused { faults }) => error::RefusedSnafu { faults }.fail(),
-            Err(Error::Unreachable { attempts }) if attempts.iter().any(Attempt::may_have_run) => {
+            Err(Error::Unreachable { attempts })
+                if attempts.iter().any(AttemptError::may_have_run) =>
+            {
                 error::UnknownSnafu {
                     expected_version,
                     request_id,
@@ -60,35 +67,44 @@
     }
 
     pub(crate) async fn document(&self) -> Result<Document> {
-        self.send(&Method::GET, OPERATOR_DOCUMENT, None::<&()>)
+        self.send_with_failover(&Method::GET, OPERATOR_DOCUMENT, None::<&()>)
             .await
     }
 
     pub(crate) async fn drain(&self) -> Result<DrainStatus> {
-        self.send(&Method::POST, OPERATOR_DRAIN, None::<&()>).await
+        self.send_with_failover(&Method::POST, OPERATOR_DRAIN, None::<&()>)
+            .await
     }
 
     pub(crate) async fn status(&self) -> Result<OperatorStatus> {
-        self.send(&Method::GET, OPERATOR_STATUS, None::<&()>).await
+        self.send_with_failover(&Method::GET, OPERATOR_STATUS, None::<&()>)
+            .await
     }
 
     pub(crate) async fn withdraw(&self, key: &KeyId) -> Result<WithdrawalStatus> {
-        let path = format!("{OPERATOR_WITHDRAW}{}", percent_encoded(key));
-        match self.send(&Method::POST, &path, None::<&()>).await {
-            Err(Error::Unreachable { attempts }) if attempts.iter().any(Attempt::may_have_run) => {
+        let path = format!("{OPERATOR_WITHDRAW}{}", percent_encode(key));
+        match self
+            .send_with_failover(&Method::POST, &path, None::<&()>)
+            .await
+        {
+            Err(Error::Unreachable { attempts })
+                if attempts.iter().any(AttemptError::may_have_run) =>
+            {
                 error::UnknownWithdrawalSnafu { key: key.clone() }.fail()
             }
             outcome => outcome,
         }
     }
 
-    async fn attempt<B: Serialize, T: DeserializeOwned>(
+    /// Sends a request to one VM. The outer error ends the command; after the inner one, the next VM
+    /// can be tried.
+    async fn send_to<B: Serialize, T: DeserializeOwned>(
         &self,
         server: &str,
         method: &Method,
         path: &str,
         body: Option<&B>,
-    ) -> Result<Result<T, Attempt>> {
+    ) -> Result<Result<T, AttemptError>> {
         let req = self
             .http
             .request(method.clone(), format!("{server}{path}"))
@@ -99,27 +115,27 @@
         };
         let mut answer = match answer {
             Ok(answer) => answer,
-            Err(source) => return Ok(Err(Attempt::of(server, source))),
+            Err(source) => return Ok(Err(AttemptError::from_send_error(server, source))),
         };
         let status = answer.status().as_u16();
-        let garbled = || attempt::GarbledSnafu { server, status }.build();
-        let Ok(bytes) = answer.body().limit(Self::ANSWER_BYTES).await else {
-            return Ok(Err(garbled()));
+        let unrecognized = || attempt_error::UnrecognizedAnswerSnafu { server, status }.build();
+        let Ok(bytes) = answer.body().limit(Self::MAX_ANSWER_BYTES).await else {
+            return Ok(Err(unrecognized()));
         };
         if let Ok(source) = serde_json::from_slice::<OperatorError>(&bytes) {
             return match source {
-                OperatorError::NoLeader { .. } => Ok(Err(Attempt::NoLeader {
+                OperatorError::NoLeader { .. } => Ok(Err(AttemptError::NoLeader {
                     server: server.into(),
                     source,
                 })),
                 _ => Err(source).context(error::ServerSnafu { server }),
             };
         }
-        Ok(serde_json::from_slice(&bytes).map_err(|_| garbled()))
+        Ok(serde_json::from_slice(&bytes).map_err(|_| unrecognized()))
     }
 
-    /// Asks one VM after another until one answers.
-    async fn send<B: Serialize, T: DeserializeOwned>(
+    /// Sends a request to one VM after another until one answers. A refusal counts as an answer.
+    async fn send_with_failover<B: Serialize, T: DeserializeOwned>(
         &self,
         method: &Method,
         path: &str,
@@ -127,16 +143,16 @@
     ) -> Result<T> {
         let mut attempts = Vec::new();
         for server in &self.servers {
-            match self.attempt(server, method, path, body).await? {
+            match self.send_to(server, method, path, body).await? {
                 Ok(answer) => return Ok(answer),
-                Err(attempt) => attempts.push(attempt),
+                Err(error) => attempts.push(error),
             }
         }
         error::UnreachableSnafu { attempts }.fail()
     }
 }
 
-fn percent_encoded(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     let encode = |byte: u8| match byte {
         b'0'..=b'9' | b'A'..=b'Z' | b'a'..=b'z' | b'-' | b'.' | b'_' | b'~' => {
             char::from(byte).to_string()
--- a/crates/ebonystandctl/src/config.rs
+++ b/crates/ebonystandctl/src/config.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What the command line asks for.
+/// Parsed command line: the global options and the subcommand.
 #[derive(Debug)]
 pub(crate) struct Config {
     pub(crate) credential_file: Option<PathBuf>,
@@ -10,7 +10,7 @@
     pub(crate) timeout: Duration,
 }
 
-/// Names of the arguments.
+/// Ids of the arguments that several modules use; for options, also the flag without its dashes.
 pub(crate) mod arg {
     pub(crate) const CREDENTIAL_FILE: &str = "credential-file";
     pub(crate) const EXPECTED_VERSION: &str = "expected-version";
@@ -36,7 +36,7 @@
 Exit status: 0 done, 1 refused, 2 usage, 3 conflict, 4 unreachable, 5 unknown outcome.";
 
 impl Config {
-    /// The whole command line.
+    /// Returns the command-line parser with all subcommands.
     pub(crate) fn command() -> Command {
         Command::new("ebonystandctl")
             .version(env!("CARGO_PKG_VERSION"))
@@ -60,7 +60,7 @@
         let credential_file = matches.get_one::<PathBuf>(arg::CREDENTIAL_FILE).cloned();
         if subcommand.needs_server() && (servers.is_empty() || credential_file.is_none()) {
             let message = "--server and --credential-file are required";
-            return Err(usage(
+            return Err(usage_error(
                 clap::error::ErrorKind::MissingRequiredArgument,
                 message,
             ));
@@ -71,7 +71,7 @@
             json: matches.get_flag(arg::JSON),
             servers,
             subcommand,
-            timeout: Duration::from_secs(seconds.unwrap_or(Client::TIMEOUT_SECONDS)),
+            timeout: Duration::from_secs(seconds.unwrap_or(Client::DEFAULT_TIMEOUT_SECONDS)),
         })
     }
 
@@ -104,14 +104,14 @@
     }
 }
 
-/// A fault of the command line that is not found by the parser.
-pub(crate) fn usage(kind: clap::error::ErrorKind, message: &str) -> Error {
+/// Creates a usage error for a rule that the parser does not check by itself.
+pub(crate) fn usage_error(kind: clap::error::ErrorKind, message: &str) -> Error {
     let source = Config::command().error(kind, message);
     Error::Usage { source }
 }
 
-/// The value of a required argument.
-pub(crate) fn text(matches: &ArgMatches, name: &str) -> Box<str> {
+/// Returns the value of a required argument, or an empty string if it is absent.
+pub(crate) fn required_string(matches: &ArgMatches, name: &str) -> Box<str> {
     let text = matches.get_one::<String>(name);
     text.map_or_else(Box::default, |text| text.as_str().into())
 }
--- a/crates/ebonystandctl/src/context.rs
+++ b/crates/ebonystandctl/src/context.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What all subcommands need.
+/// HTTP client and output format that the subcommands share.
 pub(crate) struct Context {
     pub(crate) client: Client,
     json: bool,
@@ -18,7 +18,7 @@
         })
     }
 
-    /// Sends a change and prints what it made.
+    /// Sends a change and prints the version that it created.
     pub(crate) async fn change(&self, change: Change, args: &ChangeArgs) -> Result {
         let version = self.client.change(change, args).await?;
         self.print(&ChangeOutcome::Accepted { version }, || {
@@ -26,7 +26,7 @@
         })
     }
 
-    /// Prints a value, as JSON or as text.
+    /// Prints a value to standard output, as JSON with `--json` and as text otherwise.
     pub(crate) fn print<T: Serialize>(&self, value: &T, text: impl FnOnce() -> String) -> Result {
         use std::io::Write;
         let line = if self.json {
@@ -34,7 +34,7 @@
         } else {
             text()
         };
-        // A reader that has closed the pipe wants no more.
+        // A write fails when the reader has closed the pipe, for example `head`; that is no error.
         drop(writeln!(std::io::stdout(), "{line}"));
         Ok(())
     }
@@ -49,7 +49,7 @@
     Ok(credential.into())
 }
 
-/// Reads a configuration document.
+/// Reads a configuration document from a JSON file without checking it for faults.
 pub(crate) fn read_document(path: &Path) -> Result<Document> {
     let text = fs::read_to_string(path).context(error::ReadSnafu { path })?;
     serde_json::from_str(&text).context(error::ParseSnafu { path })
--- a/crates/ebonystandctl/src/document.rs
+++ b/crates/ebonystandctl/src/document.rs
@@ -1,4 +1,4 @@
-//! Prints the document in force.
+//! `document` subcommand: prints the configuration document in force.
 
 use super::*;
 
--- a/crates/ebonystandctl/src/drain.rs
+++ b/crates/ebonystandctl/src/drain.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Drains the VM that is asked.
+/// Arguments of `drain`, which makes a VM finish its requests in flight and stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Drain;
 
--- a/crates/ebonystandctl/src/exit_status.rs
+++ b/crates/ebonystandctl/src/exit_status.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// How a command ended, for scripts.
+/// Exit status of the process, by which scripts tell how a command ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
-    /// It is done.
+    /// The command succeeded.
     Done = 0,
-    /// The system refused it; nothing changed.
+    /// The document is invalid, or a VM refused the request; nothing changed.
     Refused = 1,
-    /// The command line or a file named on it is wrong; nothing was sent.
+    /// The command line is invalid, a file named on it cannot be read, the credential file is
+    /// invalid, or the operating system supplies no random bytes; no change was sent.
     Usage = 2,
-    /// Another change came first; nothing changed.
+    /// The expected version is no longer in force because another change was made; nothing changed.
     Conflict = 3,
-    /// No VM could take it; nothing changed.
+    /// No VM answered the request; no configuration change was made.
     Unreachable = 4,
-    /// An answer was lost; the change may have been made.
+    /// The answer to a change was lost; the change may have been made.
     Unknown = 5,
 }
 
--- a/crates/ebonystandctl/src/explain.rs
+++ b/crates/ebonystandctl/src/explain.rs
@@ -1,19 +1,19 @@
 use super::*;
 use serde_json::{Map, Value};
 
-/// Explains what became of a request, from the log lines of any number of VMs.
+/// Arguments of `explain`, which determines the outcome of a request from the log files of VMs.
 #[derive(Clone, Debug)]
 pub(crate) struct Explain {
     files: Vec<PathBuf>,
     request: Box<str>,
 }
 
-/// Log lines of one request in order, and what decided its end.
+/// Log lines of one request in causal order, and the cause of its outcome.
 #[derive(Debug, Serialize)]
 pub(crate) struct Explanation {
-    /// What decided the end, in a sentence.
+    /// Cause of the request's outcome as a sentence.
     cause: Box<str>,
-    /// Lines that any of the VMs dropped; what is missing may be among them.
+    /// Number of log lines that the VMs report as dropped; lines of this request may be among them.
     dropped: u64,
     lines: Vec<Map<String, Value>>,
     request: Box<str>,
@@ -43,7 +43,7 @@
         let files = matches.get_many::<PathBuf>(Self::FILES);
         Self {
             files: files.into_iter().flatten().cloned().collect(),
-            request: config::text(matches, Self::REQUEST),
+            request: config::required_string(matches, Self::REQUEST),
         }
     }
 
@@ -51,16 +51,16 @@
         let mut lines = Vec::new();
         for path in &self.files {
             let text = fs::read_to_string(path).context(error::ReadSnafu { path })?;
-            lines.extend(text.lines().filter_map(parse));
+            lines.extend(text.lines().filter_map(parse_line));
         }
         if self.files.is_empty() {
             let path = Path::new("-");
             let text = std::io::read_to_string(std::io::stdin());
             let text = text.context(error::ReadSnafu { path })?;
-            lines.extend(text.lines().filter_map(parse));
+            lines.extend(text.lines().filter_map(parse_line));
         }
         let explanation = Explanation::new(&self.request, lines);
-        cx.print(&explanation, || explanation.text())
+        cx.print(&explanation, || explanation.to_text())
     }
 }
 
@@ -70,28 +70,28 @@
         let dropped = dropped.filter_map(Value::as_u64).sum();
         let of_request = lines
             .into_iter()
-            .filter(|line| field(line, "request") == request);
-        let lines = in_order(of_request.collect());
+            .filter(|line| string_field(line, "request") == request);
+        let lines = order_causally(of_request.collect());
         Self {
-            cause: cause(&lines).into(),
+            cause: describe_cause(&lines).into(),
             dropped,
             lines,
             request: request.into(),
         }
     }
 
-    fn text(&self) -> String {
+    fn to_text(&self) -> String {
         let mut text = String::new();
         for line in &self.lines {
             let fields = line
                 .iter()
-                .filter(|(name, _)| !OWN_COLUMN.contains(&name.as_str()));
-            let fields = fields.map(|(name, value)| format!("{name}={}", plain(value)));
+                .filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
+            let fields = fields.map(|(name, value)| format!("{name}={}", format_plain(value)));
             text.push_str(&format!(
                 "{} {} {}: {}\n",
-                field(line, "time"),
-                field(line, "at"),
-                field(line, "message"),
+                string_field(line, "time"),
+                string_field(line, "at"),
+                string_field(line, "message"),
                 fields.collect::<Vec<_>>().join(" ")
             ));
         }
@@ -105,123 +105,130 @@
     }
 }
 
-/// Fields that a line of text begins with, or that are equal in all lines.
-const OWN_COLUMN: [&str; 6] = ["at", "level", "message", "request", "start", "time"];
+/// Fields left out of a line's `name=value` list: `at`, `message` and `time` start the line, and the
+/// others are normally equal in all lines of a request.
+const OMITTED_FIELDS: [&str; 6] = ["at", "level", "message", "request", "start", "time"];
 
-fn parse(line: &str) -> Option<Map<String, Value>> {
+fn parse_line(line: &str) -> Option<Map<String, Value>> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
 
-fn field<'a>(line: &'a Map<String, Value>, name: &str) -> &'a str {
+fn string_field<'a>(line: &'a Map<String, Value>, name: &str) -> &'a str {
     line.get(name).and_then(Value::as_str).unwrap_or_default()
 }
 
-fn plain(value: &Value) -> String {
+fn format_plain(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// Lines by cause and not by time, since clocks of VMs differ: the lines of the VM that the caller
-/// asked in their order, and behind each sending to another region the next line there until that
-/// VM's part ends.
-fn in_order(lines: Vec<Map<String, Value>>) -> Vec<Map<String, Value>> {
-    let is_first = |line: &Map<String, Value>| !field(line, "message").starts_with("forwarded");
-    let first = lines.iter().find(|line| {
-        let at = field(line, "at");
-        let mut own = lines.iter().filter(|other| field(other, "at") == at);
-        own.next().is_some_and(is_first)
+/// Orders the lines of a request causally rather than by time, because the clocks of VMs differ.
+///
+/// The lines of the VM that received the request from the caller keep their order. Each line that
+/// forwards the request to another region is followed by the lines of the VM that took it there.
+fn order_causally(lines: Vec<Map<String, Value>>) -> Vec<Map<String, Value>> {
+    let is_from_caller =
+        |line: &Map<String, Value>| !string_field(line, "message").starts_with("forwarded");
+    let first_line = lines.iter().find(|line| {
+        let at = string_field(line, "at");
+        let mut own = lines.iter().filter(|other| string_field(other, "at") == at);
+        own.next().is_some_and(is_from_caller)
     });
-    let Some(first) = first.map(|line| field(line, "at").to_owned()) else {
+    let Some(entry_vm) = first_line.map(|line| string_field(line, "at").to_owned()) else {
         return lines;
     };
-    let (own, others): (Vec<_>, Vec<_>) = lines.into_iter().partition(|l| field(l, "at") == first);
-    let mut parts = parts(others).into_iter();
+    let (own, others): (Vec<_>, Vec<_>) = lines
+        .into_iter()
+        .partition(|l| string_field(l, "at") == entry_vm);
+    let mut forwarded = group_by_forwarding(others).into_iter();
     let mut ordered = Vec::new();
     for line in own {
-        let is_away = field(&line, "message") == "sent away";
+        let is_forwarded = string_field(&line, "message") == "sent away";
         ordered.push(line);
-        if is_away {
-            ordered.extend(parts.next().into_iter().flatten());
+        if is_forwarded {
+            ordered.extend(forwarded.next().into_iter().flatten());
         }
     }
-    ordered.extend(parts.flatten());
+    ordered.extend(forwarded.flatten());
     ordered
 }
 
-/// Lines of other VMs, a part for each time that one of them took the request.
-fn parts(lines: Vec<Map<String, Value>>) -> Vec<Vec<Map<String, Value>>> {
-    let mut parts: Vec<Vec<Map<String, Value>>> = Vec::new();
+/// Splits the lines of VMs that took a forwarded request into one group per forwarding, sorted by
+/// the time of each group's first line.
+fn group_by_forwarding(lines: Vec<Map<String, Value>>) -> Vec<Vec<Map<String, Value>>> {
+    let mut groups: Vec<Vec<Map<String, Value>>> = Vec::new();
     for line in lines {
-        let begins = field(&line, "message") == "forwarded request sent";
-        match parts.last_mut() {
-            Some(part) if !begins => part.push(line),
-            _ => parts.push(vec![line]),
+        let starts_group = string_field(&line, "message") == "forwarded request sent";
+        match groups.last_mut() {
+            Some(group) if !starts_group => group.push(line),
+            _ => groups.push(vec![line]),
         }
     }
-    parts.sort_by(|a, b| field(&a[0], "time").cmp(field(&b[0], "time")));
-    parts
+    groups.sort_by(|a, b| string_field(&a[0], "time").cmp(string_field(&b[0], "time")));
+    groups
 }
 
-fn cause(lines: &[Map<String, Value>]) -> String {
+fn describe_cause(lines: &[Map<String, Value>]) -> String {
     let Some(last) = lines.last() else {
         return "no line tells of this request".into();
     };
     let find = |messages: &[&str]| {
         let mut lines = lines.iter().rev();
-        lines.find(|line| messages.contains(&field(line, "message")))
+        lines.find(|line| messages.contains(&string_field(line, "message")))
     };
-    let troubles = [
+    let definite_failures = [
         "broke off midway",
         "cut off: its time is over",
         "not connected",
         "no answer",
     ];
-    let silences = [
+    let missing_first_bytes = [
         "silent",
         "silent before its first byte",
         "broke off before its first byte",
     ];
-    let trouble = find(&troubles)
-        .or_else(|| find(&silences))
+    let failure = find(&definite_failures)
+        .or_else(|| find(&missing_first_bytes))
         .or_else(|| find(&["failed"]));
-    let at_upstream = trouble.map(|line| {
-        let fault = line.get("fault").or(line.get("status")).map(plain);
+    let upstream_failure = failure.map(|line| {
+        let fault = line.get("fault").or(line.get("status")).map(format_plain);
         let fault = fault.unwrap_or_else(|| "its time was over".into());
         format!(
             "upstream {} ({}: {fault})",
-            field(line, "upstream"),
-            field(line, "message")
+            string_field(line, "upstream"),
+            string_field(line, "message")
         )
     });
     let refused = find(&["refused"]);
-    match (field(last, "message"), refused, at_upstream) {
-        ("answered", _, trouble) => {
-            let whole = last.get("whole_ms").map(plain).unwrap_or_default();
-            // On the VM that forwarded it the upstream's time is not known and told as 0.
-            let first = lines
+    match (string_field(last, "message"), refused, upstream_failure) {
+        ("answered", _, failure) => {
+            let total_ms = last.get("whole_ms").map(format_plain).unwrap_or_default();
+            // The VM that forwards a request does not see the upstream's first byte and logs 0, so
+            // the maximum is the time seen by the VM that called the upstream.
+            let first_byte_ms = lines
                 .iter()
                 .filter_map(|line| line.get("first_byte_ms")?.as_u64());
-            let first = first.max().unwrap_or_default();
-            let after = trouble.map(|trouble| format!(", after trouble at {trouble}"));
+            let first_byte_ms = first_byte_ms.max().unwrap_or_default();
+            let after = failure.map(|failure| format!(", after trouble at {failure}"));
             let after = after.unwrap_or_default();
             format!(
-                "answered after {whole} ms, {first} ms of them for the first byte at the upstream{after}"
+                "answered after {total_ms} ms, {first_byte_ms} ms of them for the first byte at the upstream{after}"
             )
         }
         (_, Some(refused), None) => format!(
             "refused by {}: {} ({})",
-            field(refused, "at"),
-            field(refused, "reason"),
-            field(refused, "code")
+            string_field(refused, "at"),
+            string_field(refused, "reason"),
+            string_field(refused, "code")
         ),
-        (_, Some(refused), Some(trouble)) => format!(
-            "refused by {} with {} after trouble at {trouble}",
-            field(refused, "at"),
-            field(refused, "code")
+        (_, Some(refused), Some(failure)) => format!(
+            "refused by {} with {} after trouble at {failure}",
+            string_field(refused, "at"),
+            string_field(refused, "code")
         ),
-        (_, None, Some(trouble)) => format!("broken off: trouble at {trouble}"),
+        (_, None, Some(failure)) => format!("broken off: trouble at {failure}"),
         ("caller left", None, None) => "its caller left before the answer was whole".into(),
         _ => "no line tells of its end: its caller left, its VM ended, or the line was dropped"
             .into(),
--- a/crates/ebonystandctl/src/key.rs
+++ b/crates/ebonystandctl/src/key.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Callers' keys.
+/// Arguments of `key`, which issues, withdraws and lists the keys of callers.
 #[derive(Clone, Debug)]
 pub(crate) enum KeyCommand {
     Give {
@@ -17,8 +17,10 @@
 impl KeyCommand {
     const SECRET_BYTES: usize = 32;
 
-    /// `give` takes no request id: a resend by another process would draw another secret, learn
-    /// that the first was accepted, and print one that does not work.
+    /// Returns the `key` subcommand for the command-line parser.
+    ///
+    /// `give` takes no request id. A second run with the id of the first would generate another
+    /// secret, be told that the first change was accepted, and print a secret that does not work.
     pub(crate) fn command() -> Command {
         let id = |help: &'static str| {
             Arg::new(config::arg::ID)
@@ -53,11 +55,11 @@
         match matches.subcommand() {
             Some(("give", matches)) => Self::Give {
                 expected_version: ChangeArgs::from_matches(matches).expected_version,
-                id: config::text(matches, config::arg::ID),
-                workspace: config::text(matches, config::arg::WORKSPACE),
+                id: config::required_string(matches, config::arg::ID),
+                workspace: config::required_string(matches, config::arg::WORKSPACE),
             },
             Some(("withdraw", matches)) => Self::Withdraw {
-                id: config::text(matches, config::arg::ID),
+                id: config::required_string(matches, config::arg::ID),
             },
             _ => Self::List,
         }
@@ -69,20 +71,20 @@
                 expected_version,
                 id,
                 workspace,
-            } => give(cx, *expected_version, id, workspace).await,
-            Self::List => list(cx).await,
-            Self::Withdraw { id } => withdraw(cx, id).await,
+            } => give_key(cx, *expected_version, id, workspace).await,
+            Self::List => list_keys(cx).await,
+            Self::Withdraw { id } => withdraw_key(cx, id).await,
         }
     }
 }
 
-async fn give(
+async fn give_key(
     cx: &Context,
     expected_version: Option<Version>,
     id: &KeyId,
     workspace: &WorkspaceId,
 ) -> Result {
-    let secret: Box<str> = draw_hex::<{ KeyCommand::SECRET_BYTES }>()?.into();
+    let secret: Box<str> = random_hex::<{ KeyCommand::SECRET_BYTES }>()?.into();
     let key = Key {
         hash: KeyHash::from_secret(&secret),
         withdrawn: false,
@@ -101,16 +103,16 @@
         Err(Error::Unknown { .. }) => return error::UnknownKeySnafu { key: id.clone() }.fail(),
         Err(error) => return Err(error),
     };
-    let given = IssuedKey {
+    let issued = IssuedKey {
         key: id.clone(),
         secret,
         version,
         workspace: workspace.clone(),
     };
-    cx.print(&given, || given.secret.to_string())
+    cx.print(&issued, || issued.secret.to_string())
 }
 
-async fn list(cx: &Context) -> Result {
+async fn list_keys(cx: &Context) -> Result {
     let keys = cx.client.document().await?.keys;
     cx.print(&keys, || {
         let line = |(id, key): (&KeyId, &Key)| {
@@ -121,7 +123,7 @@
     })
 }
 
-async fn withdraw(cx: &Context, id: &KeyId) -> Result {
+async fn withdraw_key(cx: &Context, id: &KeyId) -> Result {
     let status = cx.client.withdraw(id).await?;
     cx.print(&status, || match status.version {
         Some(version) => format!("withdrawn for ever by version {version}"),
--- a/crates/ebonystandctl/src/lib.rs
+++ b/crates/ebonystandctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! Operators' client of the ebonystand inference gateway: one module for each subcommand, and the
-//! HTTP client that they share.
+//! Command-line client for operators of the ebonystand inference gateway: one module for each
+//! subcommand, and the HTTP client that they share.
 
 use {
     clap::{Arg, ArgAction, ArgMatches, Command, value_parser},
@@ -19,14 +19,14 @@
 pub use {exit_status::ExitStatus, run::run};
 
 use {
-    apply::Apply, attempt::Attempt, change_args::ChangeArgs, check::Check, client::Client,
-    config::Config, context::Context, drain::Drain, error::Error, explain::Explain,
-    key::KeyCommand, preset::PresetCommand, secret::draw_hex, subcommand::Subcommand,
+    apply::Apply, attempt_error::AttemptError, change_args::ChangeArgs, check::Check,
+    client::Client, config::Config, context::Context, drain::Drain, error::Error, explain::Explain,
+    key::KeyCommand, preset::PresetCommand, secret::random_hex, subcommand::Subcommand,
     upstream::UpstreamCommand, workspace::WorkspaceCommand,
 };
 
 mod apply;
-mod attempt;
+mod attempt_error;
 mod change_args;
 mod check;
 mod client;
--- a/crates/ebonystandctl/src/preset.rs
+++ b/crates/ebonystandctl/src/preset.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The three presets.
+/// Arguments of `preset`, which defines, shows and switches the three presets.
 #[derive(Clone, Debug)]
 pub(crate) enum PresetCommand {
     Set {
@@ -50,12 +50,12 @@
         match matches.subcommand() {
             Some(("set", matches)) => Self::Set {
                 args: ChangeArgs::from_matches(matches),
-                file: check::file(matches),
-                name: name(matches),
+                file: check::file_path(matches),
+                name: preset_name(matches),
             },
             Some(("switch", matches)) => Self::Switch {
                 args: ChangeArgs::from_matches(matches),
-                name: name(matches),
+                name: preset_name(matches),
             },
             _ => Self::Show,
         }
@@ -70,7 +70,7 @@
                 let name = *name;
                 cx.change(Change::SetPreset { name, preset }, args).await
             }
-            Self::Show => show(cx).await,
+            Self::Show => show_presets(cx).await,
             Self::Switch { args, name } => {
                 cx.change(Change::SwitchPreset { name: *name }, args).await
             }
@@ -78,15 +78,15 @@
     }
 }
 
-fn name(matches: &ArgMatches) -> PresetName {
-    match &*config::text(matches, config::arg::NAME) {
+fn preset_name(matches: &ArgMatches) -> PresetName {
+    match &*config::required_string(matches, config::arg::NAME) {
         "maintenance" => PresetName::Maintenance,
         "peak" => PresetName::Peak,
         _ => PresetName::Ordinary,
     }
 }
 
-async fn show(cx: &Context) -> Result {
+async fn show_presets(cx: &Context) -> Result {
     let document = cx.client.document().await?;
     cx.print(&document.presets, || {
         let presets = serde_json::to_string_pretty(&document.presets).unwrap_or_default();
--- a/crates/ebonystandctl/src/region.rs
+++ b/crates/ebonystandctl/src/region.rs
@@ -1,4 +1,4 @@
-//! Lists regions.
+//! `region` subcommand: lists the regions with their allowance holders and links.
 
 use super::*;
 
--- a/crates/ebonystandctl/src/run.rs
+++ b/crates/ebonystandctl/src/run.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Runs one command line; its first item is the program's name.
+/// Runs the command of a command line, whose first item is the program's name, and returns the
+/// exit status for scripts.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match Config::command().try_get_matches_from(args) {
         Ok(matches) => matches,
@@ -23,5 +24,5 @@
         return ExitStatus::Done.into();
     };
     eprintln!("error: {error}");
-    error.status().into()
+    error.exit_status().into()
 }
--- a/crates/ebonystandctl/src/secret.rs
+++ b/crates/ebonystandctl/src/secret.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// `N` random bytes, written in hexadecimal.
-pub(crate) fn draw_hex<const N: usize>() -> Result<String> {
+/// Returns `N` random bytes of the operating system in hexadecimal.
+pub(crate) fn random_hex<const N: usize>() -> Result<String> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).context(error::RandomSnafu)?;
     Ok(hex::encode(bytes))
--- a/crates/ebonystandctl/src/status.rs
+++ b/crates/ebonystandctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Prints the state of the system as one VM sees it.
+//! `status` subcommand: prints the state of VMs, upstreams, groups and allowances as one VM sees it.
 
 use super::*;
 
@@ -10,10 +10,10 @@
 
 pub(crate) async fn run(cx: &Context) -> Result {
     let status = cx.client.status().await?;
-    cx.print(&status, || text(&status))
+    cx.print(&status, || format_status(&status))
 }
 
-fn text(status: &OperatorStatus) -> String {
+fn format_status(status: &OperatorStatus) -> String {
     let mut lines = vec![format!(
         "VM {}: version {}, preset {}, {}",
         status.vm,
--- a/crates/ebonystandctl/src/subcommand.rs
+++ b/crates/ebonystandctl/src/subcommand.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What to do.
+/// Subcommand of the command line with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Subcommand {
     Apply(Apply),
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Whether a VM is asked.
+    /// Returns whether the subcommand sends requests to a VM.
     pub(crate) fn needs_server(&self) -> bool {
         !matches!(self, Self::Check(_) | Self::Explain(_))
     }
--- a/crates/ebonystandctl/src/upstream.rs
+++ b/crates/ebonystandctl/src/upstream.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Upstream servers.
+/// Arguments of `upstream`, which adds, removes, drains, resumes and lists upstreams.
 #[derive(Clone, Debug)]
 pub(crate) enum UpstreamCommand {
     Add {
@@ -8,7 +8,7 @@
         id: UpstreamId,
         upstream: Box<Upstream>,
     },
-    Leave {
+    SetLeaving {
         args: ChangeArgs,
         id: UpstreamId,
         leaving: bool,
@@ -33,7 +33,7 @@
 
 impl UpstreamCommand {
     pub(crate) fn command() -> Command {
-        let named = |name: &'static str, about: &'static str| {
+        let with_name = |name: &'static str, about: &'static str| {
             Command::new(name)
                 .about(about)
                 .arg(name_arg("Name of the upstream"))
@@ -47,14 +47,14 @@
                  --region tengah --zone tengah-1 --model draft --speed 2000\n  \
                  ebonystandctl … upstream drain draft-7",
             )
-            .subcommand(named("add", "Add or replace an upstream").args(add_args()))
-            .subcommand(named(
+            .subcommand(with_name("add", "Add or replace an upstream").args(add_args()))
+            .subcommand(with_name(
                 "drain",
                 "Give an upstream no new work; it finishes what it has",
             ))
             .subcommand(Command::new("list").about("List upstreams"))
-            .subcommand(named("remove", "Remove an upstream"))
-            .subcommand(named("resume", "Give a drained upstream work again"))
+            .subcommand(with_name("remove", "Remove an upstream"))
+            .subcommand(with_name("resume", "Give a drained upstream work again"))
     }
 
     pub(crate) fn from_matches(matches: &ArgMatches) -> Self {
@@ -65,15 +65,15 @@
             return Self::List;
         }
         let args = ChangeArgs::from_matches(matches);
-        let id = config::text(matches, config::arg::NAME);
+        let id = config::required_string(matches, config::arg::NAME);
         match name {
             "add" => Self::Add {
                 args,
                 id,
-                upstream: Box::new(upstream(matches)),
+                upstream: Box::new(upstream_from_matches(matches)),
             },
             "remove" => Self::Remove { args, id },
-            _ => Self::Leave {
+            _ => Self::SetLeaving {
                 args,
                 id,
                 leaving: name == "drain",
@@ -87,11 +87,11 @@
                 let upstream = *upstream;
                 cx.change(Change::PutUpstream { id, upstream }, &args).await
             }
-            Self::Leave { args, id, leaving } => {
+            Self::SetLeaving { args, id, leaving } => {
                 let change = Change::SetUpstreamLeaving { id, leaving };
                 cx.change(change, &args).await
             }
-            Self::List => list(cx).await,
+            Self::List => list_upstreams(cx).await,
             Self::Remove { args, id } => cx.change(Change::RemoveUpstream { id }, &args).await,
         }
     }
@@ -125,7 +125,7 @@
     ]
 }
 
-async fn list(cx: &Context) -> Result {
+async fn list_upstreams(cx: &Context) -> Result {
     let upstreams = cx.client.document().await?.upstreams;
     cx.print(&upstreams, || {
         let line = |(id, upstream): (&UpstreamId, &Upstream)| {
@@ -146,7 +146,7 @@
     })
 }
 
-fn upstream(matches: &ArgMatches) -> Upstream {
+fn upstream_from_matches(matches: &ArgMatches) -> Upstream {
     let number = |name| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let models = matches.get_many::<String>(arg::MODEL).into_iter().flatten();
     let kind = match matches.get_one::<String>(arg::SERVICE) {
@@ -164,8 +164,8 @@
         enforces_fencing: matches.get_flag(arg::FENCING),
         kind,
         leaving: false,
-        region: config::text(matches, arg::REGION),
+        region: config::required_string(matches, arg::REGION),
         speed: number(arg::SPEED),
-        zone: config::text(matches, arg::ZONE),
+        zone: config::required_string(matches, arg::ZONE),
     }
 }
--- a/crates/ebonystandctl/src/workspace.rs
+++ b/crates/ebonystandctl/src/workspace.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Workspaces.
+/// Arguments of `workspace`, which adds, replaces, removes and lists workspaces.
 #[derive(Clone, Debug)]
 pub(crate) enum WorkspaceCommand {
     List,
@@ -53,12 +53,12 @@
         match matches.subcommand() {
             Some(("put", matches)) => Self::Put {
                 args: ChangeArgs::from_matches(matches),
-                id: config::text(matches, config::arg::NAME),
-                workspace: workspace(matches),
+                id: config::required_string(matches, config::arg::NAME),
+                workspace: workspace_from_matches(matches),
             },
             Some(("remove", matches)) => Self::Remove {
                 args: ChangeArgs::from_matches(matches),
-                id: config::text(matches, config::arg::NAME),
+                id: config::required_string(matches, config::arg::NAME),
             },
             _ => Self::List,
         }
@@ -66,7 +66,7 @@
 
     pub(crate) async fn run(&self, cx: &Context) -> Result {
         match self.clone() {
-            Self::List => list(cx).await,
+            Self::List => list_workspaces(cx).await,
             Self::Put {
                 args,
                 id,
@@ -80,7 +80,7 @@
     }
 }
 
-async fn list(cx: &Context) -> Result {
+async fn list_workspaces(cx: &Context) -> Result {
     let workspaces = cx.client.document().await?.workspaces;
     cx.print(&workspaces, || {
         let line = |(id, workspace): (&WorkspaceId, &Workspace)| {
@@ -114,7 +114,7 @@
     ]
 }
 
-fn workspace(matches: &ArgMatches) -> Workspace {
+fn workspace_from_matches(matches: &ArgMatches) -> Workspace {
     let number = |name| matches.get_one::<u64>(name).copied().unwrap_or_default();
     let residency = matches
         .get_many::<String>(arg::RESIDENCY)
@@ -122,7 +122,7 @@
         .flatten();
     Workspace {
         burst: number(arg::BURST),
-        home: config::text(matches, arg::HOME),
+        home: config::required_string(matches, arg::HOME),
         rate: number(arg::RATE),
         residency: residency.map(|region| region.as_str().into()).collect(),
     }
--- a/crates/ebonystandctl/tests/client.rs
+++ b/crates/ebonystandctl/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client against stand-ins for VMs.
+//! Tests of the command-line client against stub VMs.
 
 use {
     rstest::rstest,
@@ -12,15 +12,17 @@
     },
 };
 
-/// What a stand-in does with a request once it has read it.
+/// Reaction of a stub VM to a request, other than for its status: close the connection without an
+/// answer, or send a status code and a body.
 #[derive(Clone, Copy)]
-enum Answer {
+enum StubAnswer {
     Lost,
     Sent(u16, &'static str),
 }
 
-/// A VM that answers each request for a change alike, and each other one with version 7.
-struct Vm {
+/// Stub VM that answers a status request with version 7 and every other request with the same
+/// `StubAnswer`. It records the requests that it reads.
+struct StubVm {
     requests: Receiver<String>,
     url: String,
 }
@@ -28,20 +30,22 @@
 const STATUS: &str = r#"{"allowances":[],"draining":false,"groups":[],"preset":"ordinary",
     "ready":true,"upstreams":[],"version":7,"vm":"a","vms":[],"withdrawals_pending":0}"#;
 
-impl Vm {
-    fn start(answer: Answer) -> Self {
+impl StubVm {
+    fn start(answer: StubAnswer) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let url = format!("http://{}", listener.local_addr().expect("an address"));
         let (tx, requests) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let req = read(&stream);
+                let req = read_request(&stream);
                 let is_status = req.starts_with("GET /v1/operator/status");
                 drop(tx.send(req));
                 match answer {
-                    Answer::Sent(..) | Answer::Lost if is_status => respond(&stream, 200, STATUS),
-                    Answer::Sent(status, body) => respond(&stream, status, body),
-                    Answer::Lost => drop(stream.shutdown(Shutdown::Both)),
+                    StubAnswer::Sent(..) | StubAnswer::Lost if is_status => {
+                        respond(&stream, 200, STATUS)
+                    }
+                    StubAnswer::Sent(status, body) => respond(&stream, status, body),
+                    StubAnswer::Lost => drop(stream.shutdown(Shutdown::Both)),
                 }
             }
         });
@@ -49,14 +53,14 @@
     }
 }
 
-fn read(mut stream: &TcpStream) -> String {
+fn read_request(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     let mut buf = [0; 4_096];
     loop {
         let count = stream.read(&mut buf).unwrap_or(0);
         text.extend_from_slice(&buf[..count]);
-        let all = String::from_utf8_lossy(&text).into_owned();
-        let Some((head, body)) = all.split_once("\r\n\r\n") else {
+        let req = String::from_utf8_lossy(&text).into_owned();
+        let Some((head, body)) = req.split_once("\r\n\r\n") else {
             assert!(count > 0, "an unfinished request");
             continue;
         };
@@ -66,7 +70,7 @@
                 .then(|| value.parse::<usize>().ok())?
         });
         if body.len() >= length.unwrap_or(0) {
-            return all;
+            return req;
         }
     }
 }
@@ -80,7 +84,7 @@
     drop(stream.write_all(answer.as_bytes()));
 }
 
-fn ctl(servers: &[&str], args: &[&str]) -> Output {
+fn run_ctl(servers: &[&str], args: &[&str]) -> Output {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("credential");
     std::fs::write(&file, "op-secret\n").expect("a file");
@@ -96,7 +100,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn body(req: &str) -> serde_json::Value {
+fn json_body(req: &str) -> serde_json::Value {
     let (_, body) = req.split_once("\r\n\r\n").expect("a body");
     serde_json::from_str(body).expect("JSON")
 }
@@ -116,26 +120,29 @@
     #[case] answer: &'static str,
     #[case] exit: i32,
 ) {
-    let vm = Vm::start(Answer::Sent(status, answer));
-    let output = ctl(&[&vm.url], &["preset", "switch", "peak"]);
+    let vm = StubVm::start(StubAnswer::Sent(status, answer));
+    let output = run_ctl(&[&vm.url], &["preset", "switch", "peak"]);
     assert_eq!(output.status.code(), Some(exit), "{}", text(&output.stderr));
 }
 
-/// The first VM cannot be connected to. The second one takes the change and its answer is lost, so
-/// the client asks the third. Under another request id the change would be made twice, or be
-/// refused for the version that it made itself.
+/// The first VM refuses connections. The second VM takes the change, but its answer is lost, so the
+/// client sends the change to the third VM. Under another request id, the change would be made
+/// twice, or be refused because it itself moved the version on.
 #[test]
 fn a_lost_answer_is_asked_for_at_the_next_vm_under_the_same_request_id() {
-    let lost = Vm::start(Answer::Lost);
-    let other = Vm::start(Answer::Sent(200, r#"{"accepted":{"version":8}}"#));
+    let lost = StubVm::start(StubAnswer::Lost);
+    let other = StubVm::start(StubAnswer::Sent(200, r#"{"accepted":{"version":8}}"#));
     let servers = [UNREACHABLE, &lost.url, &other.url];
-    let output = ctl(&servers, &["preset", "switch", "peak"]);
+    let output = run_ctl(&servers, &["preset", "switch", "peak"]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     assert_eq!(text(&output.stdout), "version 8\n");
     let first = lost.requests.iter().nth(1).expect("the change");
     let second = other.requests.iter().next().expect("the change");
-    assert_eq!(body(&first)["request_id"], body(&second)["request_id"]);
-    assert_eq!(body(&first)["expected_version"], 7);
+    assert_eq!(
+        json_body(&first)["request_id"],
+        json_body(&second)["request_id"]
+    );
+    assert_eq!(json_body(&first)["expected_version"], 7);
     assert!(
         second
             .to_lowercase()
@@ -143,36 +150,37 @@
     );
 }
 
-/// All answers are lost: the operator is told that the change may have been made, and under which
-/// request id it can be sent again.
+/// Every VM loses its answer, so the change may have been made. The error must give the request id
+/// and version with which the operator can send the change again.
 #[test]
 fn an_unknown_outcome_names_the_request_id_for_a_resend() {
-    let vm = Vm::start(Answer::Lost);
+    let vm = StubVm::start(StubAnswer::Lost);
     let args = ["preset", "switch", "peak", "--request-id", "r-1"];
-    let output = ctl(&[&vm.url], &args);
+    let output = run_ctl(&[&vm.url], &args);
     assert_eq!(output.status.code(), Some(5));
     assert!(text(&output.stderr).contains("--request-id r-1 --expected-version 7"));
 }
 
-/// A caller's secret must not be kept by the system: only its hash may leave the client.
+/// The system must not keep a caller's secret, so the client sends only the secret's hash.
 #[test]
 fn a_given_key_sends_its_hash_and_prints_its_secret_once() {
-    let vm = Vm::start(Answer::Sent(200, r#"{"accepted":{"version":8}}"#));
+    let vm = StubVm::start(StubAnswer::Sent(200, r#"{"accepted":{"version":8}}"#));
     let args = ["--json", "key", "give", "--workspace", "w", "--id", "k"];
-    let output = ctl(&[&vm.url], &args);
+    let output = run_ctl(&[&vm.url], &args);
     let given: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     let secret = given["secret"].as_str().expect("a secret");
     let req = vm.requests.iter().nth(1).expect("the change");
     assert!(!req.contains(secret));
     let hash = ebonystand_core::KeyHash::from_secret(secret).to_string();
-    assert_eq!(body(&req)["change"]["give_key"]["key"]["hash"], *hash);
+    assert_eq!(json_body(&req)["change"]["give_key"]["key"]["hash"], *hash);
 }
 
-/// The outcome of a given key is unknown: its secret is not shown, since it may not work.
+/// The answer to giving a key is lost, so the key may not exist. The client must not print its
+/// secret, which may not work.
 #[test]
 fn a_key_of_unknown_outcome_shows_no_secret() {
-    let vm = Vm::start(Answer::Lost);
-    let output = ctl(
+    let vm = StubVm::start(StubAnswer::Lost);
+    let output = run_ctl(
         &[&vm.url],
         &["key", "give", "--workspace", "w", "--id", "k"],
     );
@@ -180,11 +188,12 @@
     assert_eq!(text(&output.stdout), "");
 }
 
-/// The answer to a withdrawal is lost. The operator must not be told that nothing changed.
+/// The answer to the withdrawal of a key is lost, so the key may be withdrawn. The exit status must
+/// not tell the operator that nothing changed.
 #[test]
 fn a_withdrawal_whose_answer_is_lost_is_of_unknown_outcome() {
-    let vm = Vm::start(Answer::Lost);
-    let output = ctl(&[&vm.url], &["key", "withdraw", "--id", "a b"]);
+    let vm = StubVm::start(StubAnswer::Lost);
+    let output = run_ctl(&[&vm.url], &["key", "withdraw", "--id", "a b"]);
     assert_eq!(output.status.code(), Some(5));
     let req = vm.requests.iter().next().expect("the withdrawal");
     assert!(
@@ -199,16 +208,16 @@
 #[case::bad_version(&["preset", "switch", "peak", "--expected-version", "x"])]
 #[case::credential_on_the_command_line(&["--credential", "x", "status"])]
 fn a_wrong_command_line_is_usage(#[case] args: &[&str]) {
-    assert_eq!(ctl(&[], args).status.code(), Some(2));
+    assert_eq!(run_ctl(&[], args).status.code(), Some(2));
 }
 
 #[test]
 fn no_vm_is_unreachable() {
-    let output = ctl(&[UNREACHABLE], &["status"]);
+    let output = run_ctl(&[UNREACHABLE], &["status"]);
     assert_eq!(output.status.code(), Some(4), "{}", text(&output.stderr));
 }
 
-fn example(name: &str) -> PathBuf {
+fn example_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(name)
@@ -218,8 +227,8 @@
 #[case("seremban-jaya.json")]
 #[case("lait-breizh.json")]
 fn the_examples_have_no_fault(#[case] name: &str) {
-    let file = example(name);
-    let output = ctl(&[], &["check", file.to_str().expect("a path")]);
+    let file = example_path(name);
+    let output = run_ctl(&[], &["check", file.to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
 }
 
@@ -230,7 +239,7 @@
     let bad = r#"{"workspaces":{"w":{"burst":0,"home":"r","rate":1,"residency":["r"]}},
         "presets":{"peak":{"deadline_ms":0}}}"#;
     std::fs::write(&file, bad).expect("a file");
-    let output = ctl(&[], &["check", file.to_str().expect("a path")]);
+    let output = run_ctl(&[], &["check", file.to_str().expect("a path")]);
     assert_eq!(output.status.code(), Some(1));
     let stderr = text(&output.stderr);
     for path in [
