--- a/crates/ebonystandctl/src/config.rs
+++ b/crates/ebonystandctl/src/config.rs
@@ -10,7 +10,8 @@
     pub(crate) timeout: Duration,
 }
 
-/// Ids of the arguments that several modules use; for options, also the flag without its dashes.
+/// Ids of the global options and of the arguments that several subcommands share. The id of an
+/// option is its flag without the dashes.
 pub(crate) mod arg {
     pub(crate) const CREDENTIAL_FILE: &str = "credential-file";
     pub(crate) const EXPECTED_VERSION: &str = "expected-version";
--- a/crates/ebonystandctl/src/key.rs
+++ b/crates/ebonystandctl/src/key.rs
@@ -19,8 +19,9 @@
 
     /// Returns the `key` subcommand for the command-line parser.
     ///
-    /// `give` takes no request id. A second run with the id of the first would generate another
-    /// secret, be told that the first change was accepted, and print a secret that does not work.
+    /// `give` takes no request id. A second run under the request id of the first would generate
+    /// another secret, be told that the first change was accepted, and print a secret that does not
+    /// work.
     pub(crate) fn command() -> Command {
         let id = |help: &'static str| {
             Arg::new(config::arg::ID)
--- a/crates/ebonystandctl/tests/client.rs
+++ b/crates/ebonystandctl/tests/client.rs
@@ -32,8 +32,11 @@
 
 impl StubVm {
     fn start(answer: StubAnswer) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let url = format!("http://{}", listener.local_addr().expect("an address"));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback port is free");
+        let url = format!(
+            "http://{}",
+            listener.local_addr().expect("listener has an address")
+        );
         let (tx, requests) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -61,7 +64,10 @@
         text.extend_from_slice(&buf[..count]);
         let req = String::from_utf8_lossy(&text).into_owned();
         let Some((head, body)) = req.split_once("\r\n\r\n") else {
-            assert!(count > 0, "an unfinished request");
+            assert!(
+                count > 0,
+                "connection closed before the request's head was complete"
+            );
             continue;
         };
         let length = head.lines().find_map(|line| {
@@ -85,15 +91,15 @@
 }
 
 fn run_ctl(servers: &[&str], args: &[&str]) -> Output {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder can be created");
     let file = folder.path().join("credential");
-    std::fs::write(&file, "op-secret\n").expect("a file");
+    std::fs::write(&file, "op-secret\n").expect("file can be written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_ebonystandctl"));
     for server in servers {
         command.args(["--server", server]);
     }
     let command = command.arg("--credential-file").arg(file).args(args);
-    command.output().expect("it runs")
+    command.output().expect("ebonystandctl can be started")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -101,8 +107,8 @@
 }
 
 fn json_body(req: &str) -> serde_json::Value {
-    let (_, body) = req.split_once("\r\n\r\n").expect("a body");
-    serde_json::from_str(body).expect("JSON")
+    let (_, body) = req.split_once("\r\n\r\n").expect("request has a body");
+    serde_json::from_str(body).expect("text is JSON")
 }
 
 const UNREACHABLE: &str = "http://127.0.0.1:1";
@@ -136,8 +142,16 @@
     let output = run_ctl(&servers, &["preset", "switch", "peak"]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
     assert_eq!(text(&output.stdout), "version 8\n");
-    let first = lost.requests.iter().nth(1).expect("the change");
-    let second = other.requests.iter().next().expect("the change");
+    let first = lost
+        .requests
+        .iter()
+        .nth(1)
+        .expect("stub VM received the change");
+    let second = other
+        .requests
+        .iter()
+        .next()
+        .expect("stub VM received the change");
     assert_eq!(
         json_body(&first)["request_id"],
         json_body(&second)["request_id"]
@@ -167,9 +181,13 @@
     let vm = StubVm::start(StubAnswer::Sent(200, r#"{"accepted":{"version":8}}"#));
     let args = ["--json", "key", "give", "--workspace", "w", "--id", "k"];
     let output = run_ctl(&[&vm.url], &args);
-    let given: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    let secret = given["secret"].as_str().expect("a secret");
-    let req = vm.requests.iter().nth(1).expect("the change");
+    let given: serde_json::Value = serde_json::from_slice(&output.stdout).expect("text is JSON");
+    let secret = given["secret"].as_str().expect("output has a secret");
+    let req = vm
+        .requests
+        .iter()
+        .nth(1)
+        .expect("stub VM received the change");
     assert!(!req.contains(secret));
     let hash = ebonystand_core::KeyHash::from_secret(secret).to_string();
     assert_eq!(json_body(&req)["change"]["give_key"]["key"]["hash"], *hash);
@@ -195,7 +213,11 @@
     let vm = StubVm::start(StubAnswer::Lost);
     let output = run_ctl(&[&vm.url], &["key", "withdraw", "--id", "a b"]);
     assert_eq!(output.status.code(), Some(5));
-    let req = vm.requests.iter().next().expect("the withdrawal");
+    let req = vm
+        .requests
+        .iter()
+        .next()
+        .expect("stub VM received the withdrawal");
     assert!(
         req.starts_with("POST /v1/operator/withdraw/a%20b "),
         "{req}"
@@ -228,18 +250,18 @@
 #[case("lait-breizh.json")]
 fn the_examples_have_no_fault(#[case] name: &str) {
     let file = example_path(name);
-    let output = run_ctl(&[], &["check", file.to_str().expect("a path")]);
+    let output = run_ctl(&[], &["check", file.to_str().expect("path is UTF-8")]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
 }
 
 #[test]
 fn check_names_every_fault_with_its_path() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder can be created");
     let file = folder.path().join("bad.json");
     let bad = r#"{"workspaces":{"w":{"burst":0,"home":"r","rate":1,"residency":["r"]}},
         "presets":{"peak":{"deadline_ms":0}}}"#;
-    std::fs::write(&file, bad).expect("a file");
-    let output = run_ctl(&[], &["check", file.to_str().expect("a path")]);
+    std::fs::write(&file, bad).expect("file can be written");
+    let output = run_ctl(&[], &["check", file.to_str().expect("path is UTF-8")]);
     assert_eq!(output.status.code(), Some(1));
     let stderr = text(&output.stderr);
     for path in [
--- a/crates/ebonystandctl/tests/explain.rs
+++ b/crates/ebonystandctl/tests/explain.rs
@@ -4,10 +4,10 @@
 use std::{fs, process::Command};
 
 fn run_explain(request: &str, logs: &[&str]) -> String {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("temporary folder can be created");
     let files = logs.iter().enumerate().map(|(n, lines)| {
         let path = dir.path().join(format!("vm-{n}.log"));
-        fs::write(&path, lines).expect("a file");
+        fs::write(&path, lines).expect("file can be written");
         path
     });
     let output = Command::new(env!("CARGO_BIN_EXE_ebonystandctl"))
@@ -15,9 +15,9 @@
         .arg(request)
         .args(files)
         .output()
-        .expect("an output");
+        .expect("ebonystandctl can be started");
     assert!(output.status.success(), "{output:?}");
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("output is UTF-8")
 }
 
 /// A workspace sends several times its rate, and its caller is refused within a millisecond. The
