--- a/crates/ebonystand-core/src/gateway/upstream_book.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_book.rs
@@ -41,9 +41,8 @@
     pub const DEFAULT_REGION_DELAY: Duration = Duration::from_millis(60);
     /// Share of the first-byte target, in permille, within which an answer should begin at its
     /// upstream. The rest is for the network and for waiting before the request is sent. The
-    /// reading of the prompt itself counts as well: at 350, the windows shrink for long prompts
-    /// that did not wait for anything, and requests are refused beside engines with room (mean
-    /// score of five days with faults, two runs each: 0.658 at 350, 0.665 at 500, 0.656 at 700).
+    /// reading of the prompt itself counts as well: with a small share, the windows shrink for long
+    /// prompts that did not wait for anything, and requests are refused beside engines with room.
     const START_TARGET_PERMILLE: u32 = 350;
     /// Least time for which an upstream counts as cold after it appears on the list or its zone
     /// returns: the list lags and may not show yet that the upstream is cold.
--- a/crates/ebonystand-core/src/gateway/upstream_choice.rs
+++ b/crates/ebonystand-core/src/gateway/upstream_choice.rs
@@ -66,14 +66,13 @@
     /// Cost that reading a token causes to other requests, as a multiple of the request's own
     /// delay: the requests queued behind it and the running streams wait as long. Without this
     /// cost, prompts leave the upstream that caches their shared parts for gains smaller than the
-    /// cost. An import costs the same multiple of its own, far shorter delay. With imports, 5 keeps
-    /// prompts at busy engines (mean score of five days with faults, four runs each: 0.674 at 5,
-    /// 0.679 at 2).
+    /// cost. An import costs the same multiple of its own, far shorter delay, so too large a factor
+    /// keeps prompts at busy engines although others could import the shared parts.
     const READING_COST_FACTOR: u32 = 2;
 
-    /// Longest time of an import that is preferred even if reading is faster. Short parts are read
-    /// in less time, but by the engine, which is the scarce resource: importing them raises the
-    /// mean score of five days with faults from 0.663 (three runs) to 0.674 (four runs).
+    /// Longest time of an import that is preferred even if reading is faster. A short part is read
+    /// in less time, but reading it occupies the engine, which is the scarce resource: the requests
+    /// queued behind it and the running streams wait meanwhile.
     const ALWAYS_IMPORTED_WITHIN: Duration = Duration::from_millis(10);
 
     /// Chooses where to send a request: to an upstream of the own region, to another region, or
@@ -287,9 +286,8 @@
     /// other engine caches more or reading is faster.
     ///
     /// An engine is also returned if `known` is not known to lack anything: it may have evicted a
-    /// part, or may still be reading it for another request, and would then read it again. Shared
-    /// tokens read again on the worst of six days (one run each): 2.0 and 1.5 million without this,
-    /// 1.2, 1.3 and 1.1 million with it.
+    /// part, or may still be reading it for another request, and would then read the same shared
+    /// tokens again.
     fn find_import<'a>(
         &self,
         query: &ChoiceQuery,
