--- a/crates/ebonystand/src/gateway/attempt.rs
+++ b/crates/ebonystand/src/gateway/attempt.rs
@@ -4,25 +4,28 @@
     std::collections::BTreeSet,
 };
 
-/// One request on its way to one upstream, as the book of upstreams counts it. Dropped before it
-/// ended, it counts as cancelled.
+/// One request in flight at one upstream, counted in the
+/// [`UpstreamBook`](ebonystand_core::UpstreamBook). An attempt that is dropped before it ends
+/// counts as cancelled.
 pub(crate) struct Attempt {
     aim: Duration,
     ended: bool,
     first_byte: Option<Duration>,
-    /// When the last event of a stream came, if it is one.
+    /// Time of the latest event of a streamed answer; `None` before the first event and for other
+    /// answers.
     last_event: Option<Duration>,
-    /// Regions that may keep the prompt; `None` if all may.
+    /// Regions where the prompt may be cached; `None` if it may be cached in all.
     homes: Option<BTreeSet<RegionId>>,
     instance: UpstreamId,
     node: Rc<Node>,
-    /// What the upstream keeps of the prompt once it has begun the answer.
+    /// Prefixes of the prompt that the upstream has cached once its answer has begun.
     prefixes: Vec<SharedPrefix>,
     started: Duration,
     unread: Tokens,
 }
 
 impl Attempt {
+    /// Records in the book that a request is sent to an upstream.
     pub(crate) fn begin(
         node: &Rc<Node>,
         query: &ChoiceQuery,
@@ -49,8 +52,8 @@
         }
     }
 
-    /// Notes that the first byte of the answer came.
-    pub(crate) fn begun(&mut self) {
+    /// Records the arrival of the first byte of the answer.
+    pub(crate) fn record_first_byte(&mut self) {
         if self.first_byte.is_none() {
             let waited = self.node.clock.now().saturating_sub(self.started);
             self.first_byte = Some(waited);
@@ -59,12 +62,12 @@
             book.record_first_byte(now, &self.instance, self.unread, self.aim, Some(waited));
             book.record_cached_prefixes(now, &self.instance, &self.prefixes, self.homes.as_ref());
             drop(book);
-            Turns::advance(&self.node);
+            RoomQueues::advance(&self.node);
         }
     }
 
-    /// Notes that events of a stream came.
-    pub(crate) fn event(&mut self) {
+    /// Records the arrival of one or more events of a streamed answer.
+    pub(crate) fn record_event(&mut self) {
         let now = self.node.clock.now();
         if let Some(last) = self.last_event.replace(now) {
             let mut book = self.node.gateway.book.borrow_mut();
@@ -72,15 +75,17 @@
         }
     }
 
+    /// Records how the attempt ended.
     pub(crate) fn end(mut self, end: AttemptEnd) {
         self.close(end);
     }
 
-    /// Time from its start to the first byte of the answer.
+    /// Time from the start of the attempt to the first byte of the answer; `None` before that byte.
     pub(crate) fn first_byte(&self) -> Option<Duration> {
         self.first_byte
     }
 
+    /// Records the end of the attempt unless it has been recorded already.
     fn close(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.ended, true) {
             return;
@@ -93,7 +98,7 @@
         let waited = now.saturating_sub(self.started);
         book.record_attempt_end(now, &self.instance, end, waited);
         drop(book);
-        Turns::advance(&self.node);
+        RoomQueues::advance(&self.node);
     }
 }
 
@@ -103,4 +108,4 @@
     }
 }
 
-use {node::Node, turns::Turns};
+use {node::Node, room_queues::RoomQueues};
--- a/crates/ebonystand/src/gateway/call.rs
+++ b/crates/ebonystand/src/gateway/call.rs
@@ -4,30 +4,30 @@
     ebonystand_core::{AttemptEnd, CacheSource, ChoiceQuery, ColdTerms, Prompt, TargetChoice},
     node::Node,
     relay::Relay,
+    room_queues::RoomQueues,
     std::collections::BTreeSet,
-    turns::Turns,
 };
 
-/// A request that may be sent: to an upstream of the own region, or to a VM of another one.
+/// A request that can be sent to an upstream of this region or forwarded to a VM of another region.
 pub(crate) struct Call {
-    /// When it had passed the filters; from then on it waits for room.
+    /// Time at which the request was admitted; its wait for room counts from here.
     pub(crate) admitted: Duration,
-    /// Time to the first byte that is aimed at.
+    /// Target for the time to the first byte.
     pub(crate) aim: Duration,
-    /// When it came.
+    /// Time at which the request arrived.
     pub(crate) arrived: Duration,
     pub(crate) body: Bytes,
-    /// When its final answer is due.
+    /// Time by which the whole answer is due.
     pub(crate) end: Duration,
-    /// Upstreams that must not get it.
+    /// Upstreams that must not receive the request, because an attempt there has already ended.
     pub(crate) excluded: Vec<UpstreamId>,
-    /// Regions that had no room for it.
+    /// Regions that refused the request or could not be reached.
     pub(crate) full_regions: BTreeSet<RegionId>,
     pub(crate) headers: HeaderMap,
-    /// Regions that may serve it; `None` if all may.
+    /// Regions that may serve the request; `None` if all may.
     pub(crate) homes: Option<BTreeSet<RegionId>>,
     pub(crate) method: Method,
-    /// Path and query, as they came.
+    /// Path and query of the request, unchanged.
     pub(crate) path: Box<str>,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) rank: u8,
@@ -36,31 +36,32 @@
     pub(crate) workspace: Option<WorkspaceId>,
 }
 
-/// An upstream of the own region that a call is sent to.
+/// An upstream of this region that a call is sent to.
 pub(crate) struct Destination {
     pub(crate) address: SocketAddr,
-    /// Engine from which it imports what it lacks of the prompt.
+    /// Engine from which the upstream imports the parts of the prompt that are missing from its
+    /// cache.
     pub(crate) import: Option<CacheSource>,
     pub(crate) instance: UpstreamId,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the upstream is expected to process because they are not cached.
     pub(crate) unread: Tokens,
 }
 
-/// What became of sending a call once.
+/// Result of sending a call once.
 pub(crate) enum Outcome {
-    /// An answer for the caller has begun.
+    /// The upstream has begun an answer that can be passed to the caller.
     Answered(Box<Answered>),
-    /// There is none.
+    /// The attempt has ended without an answer that can be passed on directly.
     Ended {
-        /// The upstream's own failure, for the caller if nobody else can serve it.
+        /// Error response of the upstream, which the caller gets if the request is not retried.
         answer: Option<Response<BoxBody>>,
         end: AttemptEnd,
-        /// When the upstream or the VM says that coming back makes sense.
+        /// Delay after which the upstream or the other VM asks for a retry.
         retry_after: Option<Duration>,
     },
 }
 
-/// An answer whose head and first bytes have come.
+/// An answer whose head and first body bytes have arrived.
 pub(crate) struct Answered {
     pub(crate) headers: HeaderMap,
     pub(crate) relay: Relay,
@@ -68,6 +69,7 @@
 }
 
 impl Outcome {
+    /// Builds the outcome of an attempt that left no answer and no retry delay.
     pub(crate) fn ended(end: AttemptEnd) -> Self {
         Self::Ended {
             answer: None,
@@ -78,32 +80,34 @@
 }
 
 impl Call {
-    /// Part of its aim, in permille, for which a request waits for room.
-    const PATIENCE_PERMILLE: u32 = 250;
-    /// Largest failure of an upstream that is kept for the caller, in bytes.
-    const LARGEST_FAILURE: usize = 64 << 10;
-    /// Longest time for the rest of an answer that is thrown away.
-    const REST: Duration = Duration::from_millis(200);
+    /// Share of the first-byte target, in permille, for which a request waits for room.
+    const ROOM_WAIT_PERMILLE: u32 = 250;
+    /// Largest body of an upstream's error response that is kept for the caller, in bytes.
+    const MAX_FAILURE_BODY: usize = 64 << 10;
+    /// Longest time to read the body of an upstream's error response.
+    const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(200);
 
-    /// Waits until an upstream has room; whether one may have. A request that would begin too late
-    /// for its aim is given up early, while its caller has time to come back.
+    /// Waits until an upstream may have room. Returns false if the wait is over before that. A
+    /// request that would start too late for its first-byte target is refused early, while its
+    /// caller still has time to retry.
     pub(crate) async fn wait_for_room(&self, node: &Rc<Node>) -> bool {
         let since = node.clock.now().saturating_sub(self.admitted);
-        let patience = (self.aim * Self::PATIENCE_PERMILLE / 1_000).saturating_sub(since);
-        if patience.is_zero() {
+        let max_wait = (self.aim * Self::ROOM_WAIT_PERMILLE / 1_000).saturating_sub(since);
+        if max_wait.is_zero() {
             return false;
         }
         let prompt = self.prompt.as_ref();
         let work = prompt.map_or(1, |prompt| prompt.input - prompt.shared_tokens());
         let (rank, service) = (self.rank, &self.service);
-        Turns::wait(node, service, rank, prompt.is_some(), work, patience).await
+        RoomQueues::wait(node, service, rank, prompt.is_some(), work, max_wait).await
     }
 
-    pub(crate) fn left(&self, node: &Node) -> Duration {
+    /// Returns the time left until the whole answer is due.
+    pub(crate) fn remaining_time(&self, node: &Node) -> Duration {
         self.end.saturating_sub(node.clock.now())
     }
 
-    /// Chooses where it goes.
+    /// Chooses the upstream or the region that the call is sent to.
     pub(crate) fn choose(&self, node: &Node, reachable: &BTreeSet<RegionId>) -> TargetChoice {
         let now = node.clock.now();
         let document = node.document();
@@ -111,6 +115,7 @@
         book.choose_target(now, &self.query(node, &document, reachable))
     }
 
+    /// Builds the query for the choice of an upstream or region.
     pub(crate) fn query<'a>(
         &'a self,
         node: &Node,
@@ -126,15 +131,15 @@
             evacuated: &document.evacuated,
             excluded: &self.excluded,
             homes: self.homes.as_ref(),
-            remaining_time: self.left(node),
+            remaining_time: self.remaining_time(node),
             prompt: self.prompt.as_ref(),
             reachable,
             service: &self.service,
         }
     }
 
-    /// Regions that may serve it, for a log line; none where those of its route and of its workspace have
-    /// none in common.
+    /// Formats the regions that may serve the call, for messages. The list is empty ("no region")
+    /// if the route's regions and the workspace's have none in common.
     pub(crate) fn homes_text(&self) -> Box<str> {
         let Some(homes) = &self.homes else {
             return "any region".into();
@@ -146,7 +151,8 @@
         }
     }
 
-    /// Sends it to an upstream of the own region and waits `wait` for the first bytes.
+    /// Sends the call to an upstream of this region and waits up to `wait` for the first bytes of
+    /// the answer.
     pub(crate) async fn send_here(
         &self,
         node: &Rc<Node>,
@@ -170,7 +176,7 @@
             has_prompt: self.prompt.is_some(),
             import_from: import.as_ref().map(|source| source.address),
             instance,
-            left: self.left(node),
+            left: self.remaining_time(node),
             rank: self.rank,
             request: &self.request,
             workspace: self.workspace.as_deref(),
@@ -178,25 +184,27 @@
         node.gateway.dialect.write(&outgoing, &mut headers);
         let until = node.clock.now() + wait;
         let sent = self.exchange(node, address, instance, headers, wait).await;
-        let answering = match sent {
-            Ok(answering) => answering,
+        let reader = match sent {
+            Ok(reader) => reader,
             Err(end) => {
                 attempt.end(end);
                 return Outcome::ended(end);
             }
         };
-        let head = answering.head();
+        let head = reader.head();
         let marks = node.gateway.dialect.answer(head.status, &head.headers);
         if let Some(slots) = marks.slots {
             let mut book = node.gateway.book.borrow_mut();
             book.record_reported_slots(node.clock.now(), instance, slots);
         }
-        if let Some(end) = self.judge(head, &marks) {
+        if let Some(end) = self.end_by_head(head, &marks) {
             attempt.end(end);
-            return self.failed(node, address, instance, answering, end).await;
+            return self
+                .read_failure(node, address, instance, reader, end)
+                .await;
         }
         let wait = until.saturating_sub(node.clock.now());
-        let relay = Relay::start(node, self, answering, address, instance, wait);
+        let relay = Relay::start(node, self, reader, address, instance, wait);
         let relay = match relay.await {
             Ok(relay) => relay,
             Err(end) => {
@@ -204,11 +212,11 @@
                 return Outcome::ended(end);
             }
         };
-        attempt.begun();
-        Outcome::Answered(Box::new(relay.answered(Some(attempt))))
+        attempt.record_first_byte();
+        Outcome::Answered(Box::new(relay.into_answered(Some(attempt))))
     }
 
-    /// Sends a request over a connection and waits `wait` for the head of its answer.
+    /// Sends the call over a connection and waits up to `wait` for the head of the answer.
     pub(crate) async fn exchange(
         &self,
         node: &Rc<Node>,
@@ -216,7 +224,7 @@
         instance: &str,
         headers: HeaderMap,
         wait: Duration,
-    ) -> Result<Answering, AttemptEnd> {
+    ) -> Result<ResponseReader, AttemptEnd> {
         let pool = &node.gateway.pool;
         let connection = match pool.take(node.clock.now(), address, instance).await {
             Ok(connection) => connection,
@@ -226,36 +234,36 @@
             }
         };
         let head = connection::head(self.method.clone(), &self.path, headers);
-        let answering = connection.request(head, self.body.clone());
-        match actix_rt::time::timeout(wait, answering).await {
-            Ok(Ok(answering)) => Ok(answering),
+        let response = connection.request(head, self.body.clone());
+        match actix_rt::time::timeout(wait, response).await {
+            Ok(Ok(reader)) => Ok(reader),
             Ok(Err(fault)) => {
                 log::warn!(request:% = self.request, upstream:% = instance, address:% = address, fault:% = fault; "no answer");
                 Err(AttemptEnd::Lost)
             }
             Err(_) => {
-                pool.give_up(address);
+                pool.close_idle(address);
                 log::warn!(request:% = self.request, upstream:% = instance, address:% = address, waited_ms = wait.as_millis() as u64; "silent");
                 Err(AttemptEnd::TimedOut)
             }
         }
     }
 
-    /// Reads what an upstream says of a failure, so that it can be passed on.
-    async fn failed(
+    /// Reads an upstream's error response so that it can be passed on to the caller.
+    async fn read_failure(
         &self,
         node: &Rc<Node>,
         address: SocketAddr,
         instance: &str,
-        mut answering: Answering,
+        mut reader: ResponseReader,
         end: AttemptEnd,
     ) -> Outcome {
-        let status = answering.head().status;
+        let status = reader.head().status;
         log::warn!(request:% = self.request, upstream:% = instance, status = status.as_u16(), end:? = end; "failed");
-        let headers = answering.head().headers.clone();
+        let headers = reader.head().headers.clone();
         let retry_after = retry_after(&headers);
-        let body = answering.read_whole(Self::LARGEST_FAILURE);
-        let body = actix_rt::time::timeout(Self::REST, body).await;
+        let body = reader.read_whole(Self::MAX_FAILURE_BODY);
+        let body = actix_rt::time::timeout(Self::FAILURE_BODY_TIMEOUT, body).await;
         let Ok(Ok(body)) = body else {
             return Outcome::Ended {
                 answer: None,
@@ -265,8 +273,8 @@
         };
         node.gateway
             .pool
-            .put(node.clock.now(), address, instance, answering);
-        let answer = (end == AttemptEnd::Failed).then(|| whole(status, &headers, body));
+            .put(node.clock.now(), address, instance, reader);
+        let answer = (end == AttemptEnd::Failed).then(|| buffered_response(status, &headers, body));
         Outcome::Ended {
             answer,
             end,
@@ -274,14 +282,20 @@
         }
     }
 
-    /// How the attempt ends by the head of its answer; `None` if this is one for the caller.
-    fn judge(&self, head: &actix_http::ResponseHead, marks: &AnswerMarks) -> Option<AttemptEnd> {
-        let is_other = marks
+    /// Determines from the head of an answer how the attempt ends; `None` if the answer is for the
+    /// caller.
+    fn end_by_head(
+        &self,
+        head: &actix_http::ResponseHead,
+        marks: &AnswerMarks,
+    ) -> Option<AttemptEnd> {
+        let is_for_other_request = marks
             .request
             .as_ref()
             .is_some_and(|request| *request != self.request);
-        // A late or second answer to an earlier request, or one that was spoiled on its way.
-        if is_other || head.headers.contains_key("content-encoding") {
+        // This is a late or repeated answer to an earlier request, or one that was altered on the
+        // way.
+        if is_for_other_request || head.headers.contains_key("content-encoding") {
             return Some(AttemptEnd::Lost);
         }
         if marks.is_stranger {
@@ -297,14 +311,18 @@
     }
 }
 
-/// An answer whose body is at hand, with the upstream's headers.
-pub(crate) fn whole(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<BoxBody> {
+/// Builds a response from a buffered body and the upstream's end-to-end headers.
+pub(crate) fn buffered_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Bytes,
+) -> Response<BoxBody> {
     let mut response = Response::new(status).set_body(body).map_into_boxed_body();
     *response.headers_mut() = headers::passed_on(headers, &[]);
     response
 }
 
-/// When an answer says that coming back makes sense.
+/// Parses the delay of a `retry-after` header, in seconds and fractions of a second.
 pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers::text(headers, "retry-after")?;
     let seconds = text.parse::<f64>().ok()?;
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -11,16 +11,17 @@
     node::Node,
     rand::{RngExt as _, SeedableRng as _},
     rand_pcg::Pcg64Mcg,
+    room_queues::RoomQueues,
     std::collections::{BTreeMap, BTreeSet},
-    turns::Turns,
 };
 
-/// Holds what serving by routes goes by, and keeps it up to date.
+/// State that requests are routed by, and the tasks that keep it up to date.
 pub(crate) struct GatewayController {
     pub(crate) book: RefCell<UpstreamBook>,
     confirmation: RefCell<Confirmation>,
     pub(crate) dialect: Rc<dyn Dialect>,
-    /// Whether a program embeds the daemon and has all callers served by routes.
+    /// Whether a program embeds the daemon with a dialect of its own, so that all callers are
+    /// served by routes.
     pub(crate) embedded: bool,
     evacuated: RefCell<BTreeSet<ZoneId>>,
     forwarders: RefCell<Rc<Forwarders>>,
@@ -28,33 +29,35 @@
     leader_changed: tokio::sync::Notify,
     pub(crate) list: ListController,
     pub(crate) pool: ConnectionPool,
-    /// By service: those of one must not be paid by the requests of another.
+    /// Retry budgets by service, so that the requests of one service don't pay for the retries of
+    /// another.
     retries: RefCell<FxHashMap<Box<str>, RetryBudget>>,
     rng: RefCell<Pcg64Mcg>,
+    /// VMs that left a forwarded request unanswered, and until when they get no others.
     suspects: RefCell<FxHashMap<VmId, Duration>>,
     table: RefCell<Rc<RouteTable>>,
-    pub(crate) turns: Turns,
-    /// A preset with the share of retries of the settings.
+    pub(crate) room_queues: RoomQueues,
+    /// Preset with the retry ratio of the settings.
     preset: Preset,
     needs_confirmation: bool,
 }
 
 impl GatewayController {
-    /// Time between two questions whether the configuration is the newest. After two without an
-    /// answer all VMs with a log are asked, so that a new leader is found within a second of its
-    /// election.
-    const CONFIRM_EVERY: Duration = Duration::from_millis(500);
-    /// Time between two tellings of this region's load to VMs of other regions.
-    const PRESSURE_EVERY: Duration = Duration::from_millis(250);
-    /// Relays of other regions that are told each time.
+    /// Time between two requests for confirmation that the configuration is the newest. After two
+    /// of them without an answer, all VMs with a log are asked, so that a new leader is found
+    /// within a second of its election.
+    const CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
+    /// Time between two messages about this region's load to VMs of other regions.
+    const PRESSURE_INTERVAL: Duration = Duration::from_millis(250);
+    /// Number of relays in other regions that get each message about this region's load.
     const PRESSURE_FAN_OUT: usize = 6;
-    /// Part of the share of retries that VMs take. The rest is for the retries that each VM may make
-    /// however few requests it has.
-    const RETRIES_PERMILLE: u64 = 850;
-    /// VMs that a new leader tells of itself.
-    const TOLD_OF_LEADER: usize = 256;
-    /// A VM that did not answer a forwarded request gets no other one for so long.
-    const SUSPECT_FOR: Duration = Duration::from_secs(2);
+    /// Part of the configured retry ratio that VMs use, in permille. The rest covers the minimum of
+    /// retries that each VM may make however few requests it has.
+    const RETRY_SHARE_PERMILLE: u64 = 850;
+    /// Largest number of VMs that a new leader notifies of its election.
+    const MAX_LEADER_NOTICES: usize = 256;
+    /// Time for which a VM gets no forwarded requests after it left one unanswered.
+    const SUSPECT_DURATION: Duration = Duration::from_secs(2);
 
     pub(crate) fn new(
         settings: &Settings,
@@ -75,7 +78,7 @@
         if !gateway.without.is_empty() {
             let without = gateway.without.iter().map(ToString::to_string);
             let without = without.collect::<Vec<_>>().join(" ");
-            log::warn!(without:% = without; "mechanisms are left out for an experiment");
+            log::warn!(without:% = without; "mechanisms are disabled for an experiment");
         }
         Self {
             book: RefCell::new(book.with_disabled_mechanisms(gateway.without.clone())),
@@ -92,16 +95,16 @@
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             suspects: RefCell::default(),
             table: RefCell::default(),
-            turns: Turns::default(),
+            room_queues: RoomQueues::default(),
             preset: Preset {
-                retry_budget_permille: gateway.retry_permille * Self::RETRIES_PERMILLE / 1_000,
+                retry_budget_permille: gateway.retry_permille * Self::RETRY_SHARE_PERMILLE / 1_000,
                 ..Preset::default()
             },
             needs_confirmation: !gateway.confirmed_for.is_zero(),
         }
     }
 
-    /// Takes over a configuration.
+    /// Applies a new configuration.
     pub(crate) fn configure(&self, now: Duration, document: &Document) {
         let evacuated = std::mem::replace(
             &mut *self.evacuated.borrow_mut(),
@@ -121,12 +124,14 @@
         );
     }
 
-    /// Whether the copy of the configuration is confirmed to be the newest.
+    /// Whether this VM's copy of the configuration is confirmed to be the newest, or needs no
+    /// confirmation.
     pub(crate) fn confirmed(&self, now: Duration) -> bool {
         !self.needs_confirmation || self.confirmation.borrow().is_valid(now)
     }
 
-    /// Takes an answer to a question whether the configuration is the newest.
+    /// Handles an answer to a request for confirmation, sent at `asked`. Only an answer of the
+    /// leader counts.
     pub(crate) fn confirm(
         &self,
         node: &Rc<Node>,
@@ -152,20 +157,22 @@
         }
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub(crate) fn draw(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
-    /// A factor that spreads what VMs that started together would otherwise do together for ever.
+    /// Returns a random factor near 1 for periodic delays, so that VMs that started together don't
+    /// stay in step.
     pub(crate) fn jitter(&self) -> f64 {
         self.rng.borrow_mut().random_range(0.8..1.2)
     }
 
-    /// A VM of a region that takes forwarded requests.
+    /// Picks a random VM of a region that accepts forwarded requests and has not recently left one
+    /// unanswered.
     pub(crate) fn forwarder(&self, node: &Node, region: &str) -> Option<(VmId, SocketAddr)> {
         let forwarders = self.forwarders(node);
-        let sound = forwarders.of(region, |vm| self.is_sound(node.clock.now(), vm));
+        let sound = forwarders.list_sound(region, |vm| self.is_sound(node.clock.now(), vm));
         if sound.is_empty() {
             return None;
         }
@@ -173,12 +180,13 @@
         Some(sound[index].clone())
     }
 
-    /// Whether there are routes to serve by.
+    /// Whether this VM has a configuration with routes.
     pub(crate) fn has_routes(&self, node: &Node) -> bool {
         node.state.ready() && self.table.borrow().routing().revision > 0
     }
 
-    /// Whether another try may be made after an attempt that ended so.
+    /// Whether an attempt that ended with `end` may be retried. A retry is taken from the service's
+    /// budget, unless the attempt cannot have reached an upstream.
     pub(crate) fn may_retry(&self, now: Duration, service: &str, end: AttemptEnd) -> bool {
         let retryable = match end.can_have_reached_upstream() {
             true => Retryable::Idempotent,
@@ -189,6 +197,7 @@
         budget.try_retry(now, retryable, &self.preset)
     }
 
+    /// Counts a request towards the retry budget of its service.
     pub(crate) fn on_request(&self, now: Duration, service: &str) {
         let mut retries = self.retries.borrow_mut();
         retries
@@ -197,12 +206,12 @@
             .record_request(now);
     }
 
-    /// Whether callers may be sent here.
+    /// Whether new callers may be directed to this VM.
     pub(crate) fn ready(&self, node: &Node) -> bool {
         self.serves(node) && !node.leaving()
     }
 
-    /// Whether requests that come here are served, also while this VM is leaving.
+    /// Whether this VM serves requests that arrive, which it still does while it is leaving.
     pub(crate) fn serves(&self, node: &Node) -> bool {
         node.settings.gateway.serves_callers
             && self.has_routes(node)
@@ -212,8 +221,9 @@
             && !node.draining()
     }
 
-    /// Whether callers of either interface may be sent here. A VM without routes takes those of the
-    /// product's own; one that a program embeds serves by routes alone.
+    /// Whether callers may be directed to this VM, for routes or for the daemon's own API. A VM
+    /// without routes serves the daemon's own API, except if a program embeds the daemon: it then
+    /// serves only routes.
     fn takes_callers(&self, node: &Node) -> bool {
         if self.embedded || self.has_routes(node) {
             return self.serves(node);
@@ -221,18 +231,18 @@
         node.settings.gateway.serves_callers && node.ready() && !node.draining()
     }
 
-    /// Other regions with a VM that takes forwarded requests.
+    /// Returns the other regions that have a VM that accepts forwarded requests.
     pub(crate) fn reachable(&self, node: &Node) -> BTreeSet<RegionId> {
         let now = node.clock.now();
         let forwarders = self.forwarders(node);
         let reachable = forwarders.regions().filter(|region| {
             let is_sound = |vm: &VmId| self.is_sound(now, vm);
-            forwarders.has_any(region, is_sound)
+            forwarders.has_sound(region, is_sound)
         });
         reachable.cloned().collect()
     }
 
-    /// Asks the leader again and again whether the configuration is the newest, until the task is
+    /// Asks the leader periodically whether the configuration is the newest, until the task is
     /// dropped. While no leader is known, all VMs with a log are asked.
     pub(crate) async fn run_confirm(node: Rc<Node>) {
         let this = &node.gateway;
@@ -240,24 +250,25 @@
             let now = node.clock.now();
             let valid = this.confirmed(now);
             let age = this.confirmation.borrow().age(now);
-            let is_late = age.is_none_or(|age| age > 2 * Self::CONFIRM_EVERY);
+            let is_late = age.is_none_or(|age| age > 2 * Self::CONFIRM_INTERVAL);
             if is_late {
                 this.leader.replace(None);
             }
             let leader = this.leader.borrow().clone();
             match leader {
-                Some(leader) => Self::ask(&node, now, &leader),
+                Some(leader) => Self::request_confirmation(&node, now, &leader),
                 None => {
                     for entry in node.membership.live(now).iter() {
                         if entry.record.holds_log {
-                            Self::ask(&node, now, &entry.record.vm);
+                            Self::request_confirmation(&node, now, &entry.record.vm);
                         }
                     }
                 }
             }
-            // A new leader is asked at once: the time for which a VM can serve without one is short.
+            // A new leader is asked at once, because a VM can serve only briefly without a
+            // confirmation.
             tokio::select! {
-                () = actix_rt::time::sleep(Self::CONFIRM_EVERY) => {}
+                () = actix_rt::time::sleep(Self::CONFIRM_INTERVAL) => {}
                 () = this.leader_changed.notified() => {}
             }
             if valid != this.confirmed(node.clock.now()) {
@@ -266,24 +277,24 @@
         }
     }
 
-    /// Tells other regions what requests have to expect here, if this VM relays, and all VMs whether
-    /// callers may be sent here, until the task is dropped.
+    /// Publishes the latencies that requests can expect in this region to other regions, if this VM
+    /// is a relay, and whether callers may be directed here to all VMs, until the task is dropped.
     pub(crate) async fn run_pressure(node: Rc<Node>) {
         let this = &node.gateway;
-        actix_rt::spawn(Turns::run(Rc::clone(&node)));
+        actix_rt::spawn(RoomQueues::run(Rc::clone(&node)));
         loop {
-            actix_rt::time::sleep(Self::PRESSURE_EVERY).await;
+            actix_rt::time::sleep(Self::PRESSURE_INTERVAL).await;
             let takes_callers = this.takes_callers(&node);
             MembershipController::set_takes_callers(&node, takes_callers);
             let is_relay = this.book.borrow().is_relay();
             if is_relay && node.settings.gateway.forwards.is_some() {
-                Self::tell_pressure(&node);
-                Self::tell_cached_away(&node);
+                Self::send_pressure(&node);
+                Self::send_cached_to_regions(&node);
             }
         }
     }
 
-    /// Tells the VMs of the region again and again what this one knows of the load at upstreams, until
+    /// Sends the load of upstreams known to this VM to the VMs of the region periodically, until
     /// the task is dropped.
     pub(crate) async fn run_load(node: Rc<Node>) {
         let this = &node.gateway;
@@ -294,7 +305,7 @@
             if !Rc::ptr_eq(&live, &known) {
                 let vms = live
                     .iter()
-                    .filter_map(|entry| of_region(entry, &node.settings.region));
+                    .filter_map(|entry| serving_vm_in(entry, &node.settings.region));
                 this.book.borrow_mut().set_vms(&vms.collect::<Vec<_>>());
                 known = live;
             }
@@ -307,21 +318,21 @@
         }
     }
 
-    /// Notes that a VM does not answer.
+    /// Records that a VM left a forwarded request unanswered.
     pub(crate) fn suspect(&self, now: Duration, vm: &VmId) {
-        let until = now + Self::SUSPECT_FOR;
+        let until = now + Self::SUSPECT_DURATION;
         self.suspects.borrow_mut().insert(vm.clone(), until);
     }
 
-    /// Tells other VMs that this one leads the log from now on. Those that are not told find out by
-    /// asking; their number is bounded for the sake of large fleets.
+    /// Notifies other VMs that this one is the leader of the log. Their number is bounded for large
+    /// fleets; the rest learn it when they ask for a confirmation.
     pub(crate) fn tell_leading(node: &Rc<Node>) {
         let version = node.document().version;
         let live = node.membership.live(node.clock.now());
         let others = live
             .iter()
             .filter(|entry| entry.record.vm != node.settings.vm);
-        for entry in others.take(Self::TOLD_OF_LEADER) {
+        for entry in others.take(Self::MAX_LEADER_NOTICES) {
             let message = PeerMessage::Confirmed {
                 asked_us: 0,
                 leading: true,
@@ -331,18 +342,19 @@
         }
     }
 
-    /// Routes, services and workspaces in force.
+    /// Returns the routes, services and workspaces in force.
     pub(crate) fn table(&self) -> Rc<RouteTable> {
         Rc::clone(&self.table.borrow())
     }
 
-    /// Whether a VM has not lately left a forwarded request without an answer.
+    /// Whether a VM has left no forwarded request unanswered recently.
     fn is_sound(&self, now: Duration, vm: &VmId) -> bool {
         let suspects = self.suspects.borrow();
         suspects.get(vm).is_none_or(|until| now >= *until)
     }
 
-    fn ask(node: &Rc<Node>, now: Duration, vm: &VmId) {
+    /// Asks a VM, or this VM itself, whether it leads the log and at which version.
+    fn request_confirmation(node: &Rc<Node>, now: Duration, vm: &VmId) {
         let asked_us = now.as_micros() as u64;
         if *vm == node.settings.vm {
             let (leading, version) = node.state.leads_at(node);
@@ -352,38 +364,40 @@
         node.send(vm, PeerMessage::Confirm { asked_us });
     }
 
-    /// VMs of other regions that take forwarded requests, kept until the live VMs change.
+    /// Returns the VMs of other regions that accept forwarded requests, cached until the set of
+    /// live VMs changes.
     fn forwarders(&self, node: &Node) -> Rc<Forwarders> {
         let live = node.membership.live(node.clock.now());
         let mut known = self.forwarders.borrow_mut();
-        if !known.is_of(&live) {
+        if !known.is_derived_from(&live) {
             *known = Rc::new(Forwarders::new(live, &node.settings.region));
         }
         Rc::clone(&known)
     }
 
-    /// Tells one relay of each other region what engines keep; it tells the others there.
-    fn tell_cached_away(node: &Rc<Node>) {
+    /// Sends the prefixes cached by engines to one relay of each other region, which passes them on
+    /// there.
+    fn send_cached_to_regions(node: &Rc<Node>) {
         let this = &node.gateway;
         let cached = this.book.borrow_mut().take_caches_for_regions();
         if cached.is_empty() {
             return;
         }
-        for relays in this.relays_away(node).into_values() {
+        for relays in this.relays_of_other_regions(node).into_values() {
             let index = this.rng.borrow_mut().random_range(0..relays.len());
             node.send(&relays[index], PeerMessage::Cached(cached.clone()));
         }
     }
 
-    /// Relays of each other region that has some.
-    fn relays_away(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
+    /// Returns the relays of each other region that has any.
+    fn relays_of_other_regions(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
         let live = node.membership.live(node.clock.now());
         let others = live.iter().filter(|entry| entry.record.takes_callers);
         let mut regions = BTreeMap::<&RegionId, Vec<RegionVm>>::new();
         for entry in others.filter(|entry| entry.record.region != node.settings.region) {
             let region = &entry.record.region;
             let vms = regions.entry(region).or_default();
-            vms.extend(of_region(entry, region));
+            vms.extend(serving_vm_in(entry, region));
         }
         let relays = regions.into_iter().map(|(region, vms)| {
             let relays = RelayPlan::new(&vms).relays().cloned().collect::<Vec<_>>();
@@ -392,7 +406,8 @@
         relays.filter(|(_, relays)| !relays.is_empty()).collect()
     }
 
-    fn tell_pressure(node: &Rc<Node>) {
+    /// Sends the latencies expected in this region to random relays of other regions.
+    fn send_pressure(node: &Rc<Node>) {
         let this = &node.gateway;
         let now = node.clock.now();
         let pressures = {
@@ -419,7 +434,7 @@
             })
             .collect::<Vec<_>>();
         let mut others = this
-            .relays_away(node)
+            .relays_of_other_regions(node)
             .into_values()
             .flatten()
             .collect::<Vec<_>>();
@@ -437,11 +452,13 @@
     }
 }
 
-/// The VM of an entry, if it stands in `region` and serves requests.
+/// Returns the VM of a membership entry if it is in `region` and serves callers or forwarded
+/// requests.
 ///
-/// Those that do not take callers yet may the next moment: of VMs that start together each would otherwise
-/// hold itself for alone, and send a cold upstream all that it bears.
-fn of_region(entry: &VmEntry, region: &str) -> Option<RegionVm> {
+/// VMs that accept forwarded requests count even before they accept callers. Otherwise each of
+/// several VMs that start together would consider itself alone and send a cold upstream the full
+/// load that it can bear.
+fn serving_vm_in(entry: &VmEntry, region: &str) -> Option<RegionVm> {
     let record = &entry.record;
     let serves = record.takes_callers || record.forwards.is_some();
     (*record.region == *region && serves).then(|| RegionVm {
--- a/crates/ebonystand/src/gateway/fetch.rs
+++ b/crates/ebonystand/src/gateway/fetch.rs
@@ -1,46 +1,48 @@
 use super::*;
 
-/// Reads small documents over HTTP.
+/// HTTP client for small documents such as lists of upstreams. It uses the gateway's connection
+/// pool.
 pub struct Fetch {
     pub(crate) node: Rc<Node>,
 }
 
-/// Why a document could not be had.
+/// Reason why a document could not be fetched.
 #[derive(Debug, Snafu)]
 #[snafu(context(suffix(false)), visibility(pub(crate)))]
 pub enum FetchError {
-    /// The answer is not of the expected form.
-    #[snafu(display("the answer cannot be decoded: {source}"))]
+    /// The document cannot be decoded.
+    #[snafu(display("the document cannot be decoded: {source}"))]
     Decode {
-        /// What the codec says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// The connection failed.
+    /// The connection failed before the whole answer was read.
     #[snafu(display("{fault}"))]
     Connection {
-        /// What is wrong.
+        /// Fault of the connection.
         fault: ConnectionFault,
     },
-    /// The answer is no success.
-    #[snafu(display("answered {status}"))]
+    /// The answer has another status than 200.
+    #[snafu(display("the server answered with status {status}"))]
     Status {
-        /// Its status.
+        /// HTTP status code of the answer.
         status: u16,
     },
-    /// No whole answer came in time.
-    #[snafu(display("no answer in time"))]
+    /// The whole answer did not arrive before the timeout.
+    #[snafu(display("the answer did not arrive before the timeout"))]
     Timeout,
 }
 
 impl Fetch {
-    const LONGEST: usize = 8 << 20;
-    /// Longest wait for a document: several round trips between regions.
+    /// Largest document, in bytes.
+    const MAX_BODY_BYTES: usize = 8 << 20;
+    /// Time limit for a whole document: several round trips between regions.
     const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-    /// Reads the document at a path of the server at `address`.
+    /// Fetches the document at `path` from the server at `address`.
     ///
     /// # Errors
-    /// [`FetchError`] unless a whole answer with status 200 came in time.
+    /// [`FetchError`] unless a whole answer with status 200 arrives before the timeout.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Result<Bytes, FetchError> {
         let whole = self.get_unbounded(address, path);
         match actix_rt::time::timeout(Self::TIMEOUT, whole).await {
@@ -54,13 +56,22 @@
         let mut headers = HeaderMap::new();
         headers::set(&mut headers, "host", &address.to_string());
         let head = connection::head(Method::GET, path, headers);
-        let faulty = |fault| FetchError::Connection { fault };
+        let connection_error = |fault| FetchError::Connection { fault };
         let now = self.node.clock.now();
-        let taken = pool.take(now, address, "").await.map_err(faulty)?;
-        let mut answering = taken.request(head, Bytes::new()).await.map_err(faulty)?;
-        let status = answering.head().status;
-        let body = answering.read_whole(Self::LONGEST).await.map_err(faulty)?;
-        pool.put(self.node.clock.now(), address, "", answering);
+        let taken = pool
+            .take(now, address, "")
+            .await
+            .map_err(connection_error)?;
+        let mut reader = taken
+            .request(head, Bytes::new())
+            .await
+            .map_err(connection_error)?;
+        let status = reader.head().status;
+        let body = reader
+            .read_whole(Self::MAX_BODY_BYTES)
+            .await
+            .map_err(connection_error)?;
+        pool.put(self.node.clock.now(), address, "", reader);
         if status != StatusCode::OK {
             return Err(FetchError::Status {
                 status: status.as_u16(),
--- a/crates/ebonystand/src/gateway/forward.rs
+++ b/crates/ebonystand/src/gateway/forward.rs
@@ -1,5 +1,5 @@
-//! Sends a request to a VM of another region, which sends it to an upstream there. Upstreams take
-//! connections of their own region only.
+//! Forwards a request to a VM of another region, which sends it to an upstream there. Upstreams
+//! accept connections only from their own region.
 
 use super::*;
 use {
@@ -10,11 +10,12 @@
     relay::Relay,
 };
 
-/// Header with the [`Forwarded`] of a request that a VM forwards.
+/// Header of a forwarded request that carries its [`Forwarded`] metadata.
 pub(crate) const FORWARDED: &str = "x-ebonystand-forwarded";
-/// Header of the answer: how the attempt ended in the other region.
-pub(crate) const ENDED: &str = "x-ebonystand-ended";
-/// The answer is the upstream's.
+/// Header of the answer to a forwarded request that states how the attempt in the other region
+/// ended.
+pub(crate) const ATTEMPT_END: &str = "x-ebonystand-ended";
+/// Value of [`ATTEMPT_END`] for an answer that comes from the upstream.
 pub(crate) const BY_UPSTREAM: &str = "upstream";
 const NOT_SENT: &str = "not_sent";
 const SHED: &str = "shed";
@@ -22,7 +23,8 @@
 const TIMED_OUT: &str = "timed_out";
 const FAILED: &str = "failed";
 
-pub(crate) fn ended_name(end: AttemptEnd) -> &'static str {
+/// Returns the value of [`ATTEMPT_END`] for the end of an attempt.
+pub(crate) fn attempt_end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Shed | AttemptEnd::AddressReused => SHED,
         AttemptEnd::Unreachable => NOT_SENT,
@@ -32,7 +34,8 @@
     }
 }
 
-fn ended_of(name: &str) -> Option<AttemptEnd> {
+/// Parses the value of [`ATTEMPT_END`]; `None` if the answer comes from the upstream.
+fn parse_attempt_end(name: &str) -> Option<AttemptEnd> {
     match name {
         BY_UPSTREAM => None,
         NOT_SENT => Some(AttemptEnd::Unreachable),
@@ -43,12 +46,12 @@
     }
 }
 
-/// Forwards a call to a VM of `region` and waits `wait` for the first bytes of the answer.
+/// Forwards a call to a VM of `region` and waits up to `wait` for the first bytes of the answer.
 pub(crate) async fn send(node: &Rc<Node>, call: &Call, region: &str, wait: Duration) -> Outcome {
     let Some((vm, address)) = node.gateway.forwarder(node, region) else {
         return Outcome::ended(AttemptEnd::Unreachable);
     };
-    let left = call.left(node);
+    let left = call.remaining_time(node);
     let forwarded = Forwarded {
         aim_ms: call.aim.as_millis() as u64,
         homes: call.homes.clone(),
@@ -69,8 +72,8 @@
     }
     let until = node.clock.now() + wait;
     let sent = call.exchange(node, address, &vm, headers, wait).await;
-    let answering = match sent {
-        Ok(answering) => answering,
+    let reader = match sent {
+        Ok(reader) => reader,
         Err(end) => {
             if matches!(end, AttemptEnd::Unreachable | AttemptEnd::TimedOut) {
                 node.gateway.suspect(node.clock.now(), &vm);
@@ -78,45 +81,46 @@
             return Outcome::ended(end);
         }
     };
-    let headers = &answering.head().headers;
-    let ended = headers::text(headers, ENDED).unwrap_or_default();
-    if let Some(end) = ended_of(ended) {
-        return refused(node, call, answering, address, &vm, end).await;
+    let headers = &reader.head().headers;
+    let ended = headers::text(headers, ATTEMPT_END).unwrap_or_default();
+    if let Some(end) = parse_attempt_end(ended) {
+        return read_failure(node, call, reader, address, &vm, end).await;
     }
     let wait = until.saturating_sub(node.clock.now());
-    match Relay::start(node, call, answering, address, &vm, wait).await {
+    match Relay::start(node, call, reader, address, &vm, wait).await {
         Ok(relay) => {
-            let mut answered = relay.answered(None);
-            answered.headers.remove(ENDED);
+            let mut answered = relay.into_answered(None);
+            answered.headers.remove(ATTEMPT_END);
             Outcome::Answered(Box::new(answered))
         }
         Err(end) => Outcome::ended(end),
     }
 }
 
-/// Takes the other VM's account of why there is no answer.
-async fn refused(
+/// Reads the other VM's report of why it has no answer from an upstream.
+async fn read_failure(
     node: &Rc<Node>,
     call: &Call,
-    mut answering: Answering,
+    mut reader: ResponseReader,
     address: SocketAddr,
     vm: &VmId,
     end: AttemptEnd,
 ) -> Outcome {
-    const LARGEST: usize = 64 << 10;
-    const REST: Duration = Duration::from_millis(200);
-    let status = answering.head().status;
-    let mut headers = answering.head().headers.clone();
-    headers.remove(ENDED);
-    log::warn!(request:% = call.request, vm:% = vm, end:? = end, status = status.as_u16(); "refused by the other region");
+    const MAX_FAILURE_BODY: usize = 64 << 10;
+    const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(200);
+    let status = reader.head().status;
+    let mut headers = reader.head().headers.clone();
+    headers.remove(ATTEMPT_END);
+    log::warn!(request:% = call.request, vm:% = vm, end:? = end, status = status.as_u16(); "other region has no answer to the forwarded request");
     let retry_after = call::retry_after(&headers);
-    let body = actix_rt::time::timeout(REST, answering.read_whole(LARGEST)).await;
+    let body =
+        actix_rt::time::timeout(FAILURE_BODY_TIMEOUT, reader.read_whole(MAX_FAILURE_BODY)).await;
     let answer = match (body, end) {
-        (Ok(Ok(body)), AttemptEnd::Failed) => Some(call::whole(status, &headers, body)),
+        (Ok(Ok(body)), AttemptEnd::Failed) => Some(call::buffered_response(status, &headers, body)),
         _ => None,
     };
     let now = node.clock.now();
-    node.gateway.pool.put(now, address, vm, answering);
+    node.gateway.pool.put(now, address, vm, reader);
     Outcome::Ended {
         answer,
         end,
--- a/crates/ebonystand/src/gateway/gateway_handle.rs
+++ b/crates/ebonystand/src/gateway/gateway_handle.rs
@@ -8,18 +8,18 @@
     std::collections::BTreeSet,
 };
 
-/// The running daemon, for a program that embeds it.
+/// Handle to the running daemon for a program that embeds it.
 #[derive(Clone)]
 pub struct Gateway {
     pub(crate) node: Rc<Node>,
 }
 
 impl Gateway {
-    /// Time after the start of a process before it proposes the first configuration: by then it
-    /// has met the other VMs with a log, which are to hold parts of the allowances.
-    const SETTLE: Duration = Duration::from_secs(2);
+    /// Time after the start of the process before it proposes the first configuration. By then it
+    /// has discovered the other VMs with a log, which are to hold shares of the allowances.
+    const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
-    /// Addresses of VMs that a caller at `caller` may connect to for a host.
+    /// Returns the addresses of VMs that a caller at `caller` may connect to for a host.
     #[must_use]
     pub fn entries(&self, host: &str, caller: &Place) -> Vec<SocketAddr> {
         let now = self.node.clock.now();
@@ -34,11 +34,11 @@
         choice.select_addresses(live.iter().map(|entry| &entry.record))
     }
 
-    /// Stops or allows the sending of requests to the upstreams of a zone; returns once that is
+    /// Stops or resumes sending requests to the upstreams of a zone. Returns once the change is
     /// durable.
     ///
     /// # Errors
-    /// [`ReplaceError::NoLeader`].
+    /// [`ReplaceError::NoLeader`] if no leader accepted the change.
     pub async fn evacuate(&self, zone: &str, evacuated: bool) -> Result<(), ReplaceError> {
         let change = Change::SetEvacuated {
             evacuated,
@@ -47,24 +47,25 @@
         self.change(change).await
     }
 
-    /// Whether callers may be sent to this VM.
+    /// Whether new callers may be directed to this VM.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.node.gateway.ready(&self.node)
     }
 
-    /// Puts a routing in force unless one with the same or a higher number is; returns once that
-    /// is durable.
+    /// Puts a routing in force unless one with the same or a higher revision is in force. Returns
+    /// once the change is durable.
     ///
     /// # Errors
-    /// [`ReplaceError`].
+    /// [`ReplaceError`] if the routing is invalid, the VM has just started or no leader accepted
+    /// the change.
     pub async fn replace(&self, mut routing: Routing) -> Result<(), ReplaceError> {
         let faults = routing.faults();
         if !faults.is_empty() {
             return Err(ReplaceError::Faulty { faults });
         }
         let is_first = self.node.document().routing.revision == 0;
-        if is_first && self.node.clock.now() < Self::SETTLE {
+        if is_first && self.node.clock.now() < Self::DISCOVERY_TIME {
             return Err(ReplaceError::TooEarly);
         }
         let settings = &self.node.settings.gateway;
@@ -80,17 +81,18 @@
             );
         }
         let change = Change::PutRouting {
-            regions: self.regions(&routing),
+            regions: self.plan_regions(&routing),
             routing: Box::new(routing),
         };
         self.change(change).await
     }
 
-    /// The routing in force, as new as anything that was acknowledged before the call.
+    /// Returns the routing in force. It is at least as new as any change acknowledged before the
+    /// call.
     ///
     /// # Errors
-    /// [`ReplaceError::NoLeader`] if it is not known which is the newest, [`ReplaceError::NoLog`] on a
-    /// VM whose copy lacks the operator's text.
+    /// [`ReplaceError::NoLeader`] if the newest version is unknown or does not reach this VM in
+    /// time, [`ReplaceError::NoLog`] on a VM whose copy lacks the operator's text.
     pub async fn routing(&self) -> Result<Routing, ReplaceError> {
         if self.node.settings.data_folder.is_none() {
             return Err(ReplaceError::NoLog);
@@ -115,31 +117,33 @@
         match outcome {
             Ok(CommandOutcome::Change(ChangeOutcome::Accepted { .. })) => Ok(()),
             Ok(outcome) => {
-                log::error!(outcome:? = outcome; "change not accepted");
+                log::error!(outcome:? = outcome; "change was not accepted");
                 Err(ReplaceError::NoLeader)
             }
             Err(refusal) => {
-                log::warn!(refusal:% = refusal; "change without a leader");
+                log::warn!(refusal:% = refusal; "change failed without a leader to accept it");
                 Err(ReplaceError::NoLeader)
             }
         }
     }
 
-    /// Waits until this VM has a version, which a follower has some time after the leader.
+    /// Waits until this VM has applied a version, which a follower does some time after the leader.
+    /// Returns false if that takes too long.
     async fn catch_up(&self, version: Version) -> bool {
-        const LOOK: Duration = Duration::from_millis(5);
-        const LONGEST: Duration = Duration::from_millis(800);
-        let end = self.node.clock.now() + LONGEST;
+        const POLL_INTERVAL: Duration = Duration::from_millis(5);
+        const TIMEOUT: Duration = Duration::from_millis(800);
+        let end = self.node.clock.now() + TIMEOUT;
         while self.node.document().version < version {
             if self.node.clock.now() >= end {
                 return false;
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         true
     }
 
-    fn regions(
+    /// Plans which VMs hold shares of the allowances in each known region.
+    fn plan_regions(
         &self,
         routing: &Routing,
     ) -> std::collections::BTreeMap<RegionId, ebonystand_core::Region> {
@@ -149,13 +153,13 @@
         regions.extend(self.node.settings.gateway.zones.values().cloned());
         regions.extend(routing.regions().cloned());
         regions.extend(live.iter().map(|entry| entry.record.region.clone()));
-        let with_log = live.iter().filter(|entry| entry.record.holds_log);
-        let with_log = with_log.map(|e| (e.record.vm.clone(), e.record.region.clone()));
-        let with_log = with_log.collect::<Vec<_>>();
+        let log_holders = live.iter().filter(|entry| entry.record.holds_log);
+        let log_holders = log_holders.map(|e| (e.record.vm.clone(), e.record.region.clone()));
+        let log_holders = log_holders.collect::<Vec<_>>();
         let document = self.node.document();
         let plan = HolderPlan {
             region_delay: self.node.settings.gateway.region_delay,
-            live: &with_log,
+            live: &log_holders,
             current: &document.regions,
             regions: &regions,
         };
--- a/crates/ebonystand/src/gateway/headers.rs
+++ b/crates/ebonystand/src/gateway/headers.rs
@@ -1,9 +1,10 @@
-//! Headers that concern one connection only.
+//! Access to HTTP headers and removal of hop-by-hop headers, which concern only one connection.
 
 use super::*;
 use actix_http::header::{HeaderName, HeaderValue};
 
-const OF_CONNECTION: [&str; 10] = [
+/// Headers that are not passed on to the other side of the gateway.
+const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
     "expect",
@@ -16,7 +17,8 @@
     "http2-settings",
 ];
 
-/// The headers that go on past this connection, without those in `dropped`.
+/// Copies the end-to-end headers: all but hop-by-hop headers, headers named by `connection`, and
+/// those in `dropped`, which are lower-case names.
 pub fn passed_on(headers: &HeaderMap, dropped: &[&str]) -> HeaderMap {
     let named = headers.get_all("connection");
     let named = named
@@ -27,7 +29,7 @@
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let text = name.as_str();
-        let is_dropped = OF_CONNECTION.contains(&text)
+        let is_dropped = HOP_BY_HOP.contains(&text)
             || dropped.contains(&text)
             || named.iter().any(|named| named == text);
         if !is_dropped {
@@ -37,17 +39,20 @@
     passed
 }
 
-/// Sets a header whose value is made of visible characters; another one is left out and logged.
+/// Sets a header. A value with characters that a header can't carry is logged and the header left
+/// unset.
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
             headers.insert(HeaderName::from_static(name), value);
         }
-        Err(error) => log::warn!(name = name, error:% = error; "header left out"),
+        Err(error) => {
+            log::warn!(name = name, error:% = error; "header not set: its value has invalid characters")
+        }
     }
 }
 
-/// Text of a header.
+/// Returns the value of a header if it is present and made of visible ASCII characters.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/ebonystand/src/gateway/mod.rs
+++ b/crates/ebonystand/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! Serving of plain HTTP requests by routes: names on the wire are a [`Dialect`]'s, decisions the
-//! core's; this part carries requests to upstreams and answers back.
+//! Serves plain HTTP requests by routes. A [`Dialect`] defines the headers, the core crate makes
+//! the decisions, and this module carries requests to upstreams and answers back to callers.
 
 use super::*;
 
@@ -21,7 +21,7 @@
 pub(crate) use {controller::GatewayController, list_controller::ListController};
 
 use {
-    connection::{Answering, Connection},
+    connection::{Connection, ResponseReader},
     connection_pool::ConnectionPool,
 };
 
@@ -46,7 +46,7 @@
 pub(crate) mod receive_forward;
 mod relay;
 mod replace_error;
+mod room_queues;
 pub(crate) mod serve_call;
 mod settings;
-mod turns;
 mod upstream_source;
