--- a/crates/ebonystand-core/src/fence/fence_command.rs
+++ b/crates/ebonystand-core/src/fence/fence_command.rs
@@ -9,7 +9,7 @@
         after: Fence,
         /// Process that claims the role.
         holder: FenceHolder,
-        /// Role that is claimed.
+        /// Role that the process wants to hold.
         role: RoleId,
     },
     /// The holder of a role renews its lease.
@@ -18,7 +18,7 @@
         fence: Fence,
         /// Sequence number of the renewal, above 0. A resend has the same number.
         renewal: u64,
-        /// Role that is renewed.
+        /// Role whose lease the holder renews.
         role: RoleId,
     },
 }
--- a/crates/ebonystand-core/src/fence/fence_outcome.rs
+++ b/crates/ebonystand-core/src/fence/fence_outcome.rs
@@ -10,7 +10,8 @@
         /// Sequence number of the renewal that this answers; 0 for a claim.
         renewal: u64,
     },
-    /// Another process holds the role, or nobody does.
+    /// The claim or renewal had no effect: the role has another holder, a newer token of the same
+    /// process, or no holder.
     Lost {
         /// Fencing token of the last holder; 0 if there was none.
         fence: Fence,
--- a/crates/ebonystand-core/src/order/order_command.rs
+++ b/crates/ebonystand-core/src/order/order_command.rs
@@ -10,16 +10,16 @@
         body: BodyHash,
         /// Holder that abandons the order.
         holder: OrderHolder,
-        /// ID of the order.
+        /// Workspace and key of the order to abandon.
         id: OrderId,
     },
     /// Records the upstream's answer.
     Answer {
-        /// Answer of the upstream.
+        /// Response that the upstream gave to the order.
         answer: OrderAnswer,
         /// Holder that received the answer.
         holder: OrderHolder,
-        /// ID of the order.
+        /// Workspace and key of the order that was answered.
         id: OrderId,
     },
     /// Requests the grant, that is, the exclusive right to send the order.
@@ -31,14 +31,14 @@
         body: BodyHash,
         /// Holder that requests the grant.
         holder: OrderHolder,
-        /// ID of the order.
+        /// Workspace and key of the order to grant.
         id: OrderId,
     },
     /// Records that the holder has sent the order, at least in part, and will receive no answer.
     MarkUnknown {
         /// Holder that sent the order.
         holder: OrderHolder,
-        /// ID of the order.
+        /// Workspace and key of the order that was sent.
         id: OrderId,
     },
     /// Deletes the records of orders whose keys were minted before the floor, and rejects such keys
--- a/crates/ebonystand-core/src/order/order_dispatch.rs
+++ b/crates/ebonystand-core/src/order/order_dispatch.rs
@@ -74,7 +74,9 @@
         actions
     }
 
-    /// Records that the caller has disconnected. An order that isn't granted yet is abandoned.
+    /// Records that the caller has disconnected. The order is abandoned if its grant has not
+    /// arrived yet. Otherwise the request continues until the journal has recorded what happened to
+    /// the order.
     pub fn cancel(&mut self, now: Duration) -> Vec<OrderAction> {
         self.replied = true;
         match self.phase {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Returns the holder of this request.
+    /// Returns the holder that the grant of the order is requested for.
     #[must_use]
     pub fn holder(&self) -> &OrderHolder {
         &self.holder
@@ -267,8 +269,8 @@
         vec![OrderAction::Reply(reply)]
     }
 
-    /// Returns whether a token belongs to the permit that this request was given. A token of
-    /// another request must not settle this one.
+    /// Returns whether the permit of this request was handed out under `holder` and its result is
+    /// still missing. A result under the holder of another request must not settle this one.
     fn is_outstanding(&self, holder: &OrderHolder) -> bool {
         self.phase == OrderPhase::Permitted && self.holder == *holder
     }
--- a/crates/ebonystand-core/src/order/order_key_error.rs
+++ b/crates/ebonystand-core/src/order/order_key_error.rs
@@ -1,6 +1,6 @@
 use {super::*, derive_more::Debug};
 
-/// Error of an order key.
+/// Reason why an order key is rejected.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OrderKeyError {
--- a/crates/ebonystand-core/src/order/order_outcome.rs
+++ b/crates/ebonystand-core/src/order/order_outcome.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Outcome of an [`OrderCommand`].
+/// What a journal reports after it has applied an [`OrderCommand`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderOutcome {
     /// The order has no holder and was not sent, and the holder that asked gets no grant any more.
@@ -20,7 +20,7 @@
     Full,
     /// The holder, and no other, may send the order.
     Granted,
-    /// The key is invalid.
+    /// The key is malformed or was minted too far in the future; the journal has recorded nothing.
     KeyFault(OrderKeyError),
     /// Records of orders with keys minted before the floor were deleted.
     Pruned {
--- a/crates/ebonystand-core/src/order/order_phase.rs
+++ b/crates/ebonystand-core/src/order/order_phase.rs
@@ -1,11 +1,14 @@
 use super::*;
 
-/// Phase of an [`OrderDispatch`].
+/// Stage of the request of an [`OrderDispatch`]. It decides which command is proposed to the
+/// journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum OrderPhase {
     /// The order will not be sent, and the journal is asked to record that.
     Abandoning {
-        /// Whether the grant was received, so that only the abandonment itself frees the order.
+        /// Whether the grant had arrived before. If so, the request ends only once the journal
+        /// reports that the order is abandoned or its key has expired, since any other outcome
+        /// would leave the order granted.
         granted: bool,
     },
     /// The journal is asked for the grant.
--- a/crates/ebonystand-core/src/order/order_record.rs
+++ b/crates/ebonystand-core/src/order/order_record.rs
@@ -7,7 +7,7 @@
     pub(crate) body: BodyHash,
     /// Current or last holder.
     pub(crate) holder: OrderHolder,
-    /// State of the order.
+    /// What the journal knows about the run of the order.
     pub(crate) state: OrderState,
 }
 
--- a/crates/ebonystand-core/src/order/order_reply.rs
+++ b/crates/ebonystand-core/src/order/order_reply.rs
@@ -5,7 +5,7 @@
 pub enum OrderReply {
     /// Answer of the only run of the order.
     Answer {
-        /// Answer of the upstream.
+        /// Response that the upstream gave to the order.
         answer: OrderAnswer,
         /// Whether the answer comes from the journal, that is, the order ran for an earlier
         /// request.
--- a/crates/ebonystand-core/src/order/order_request.rs
+++ b/crates/ebonystand-core/src/order/order_request.rs
@@ -10,7 +10,7 @@
     /// Deadline for sending the first byte to an upstream. The time between it and `reply_by` must
     /// suffice for the order to run, or for an abandonment to become durable.
     pub dispatch_by: Duration,
-    /// ID of the order.
+    /// Workspace and key of the order.
     pub id: OrderId,
     /// Deadline for the reply to the caller.
     pub reply_by: Duration,
--- a/crates/ebonystand-core/src/order/order_sort_key.rs
+++ b/crates/ebonystand-core/src/order/order_sort_key.rs
@@ -6,7 +6,7 @@
     /// Mint time of the order key, in seconds since 1970. Must be the first field, so that pruning
     /// can split off a range.
     pub(crate) minted: u64,
-    /// ID of the order.
+    /// Workspace and key of the order. It tells orders with the same mint time apart.
     pub(crate) id: OrderId,
 }
 
--- a/crates/ebonystand-core/src/order/order_stale_reason.rs
+++ b/crates/ebonystand-core/src/order/order_stale_reason.rs
@@ -3,7 +3,7 @@
 /// Reason why an [`OrderCommand`] was rejected as stale.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum OrderStaleReason {
-    /// The order is abandoned.
+    /// The holder, or a later attempt of the same process, has abandoned the order.
     #[display("abandoned")]
     Abandoned,
     /// Another attempt holds the order.
--- a/crates/ebonystand-core/src/placement/placement_reason.rs
+++ b/crates/ebonystand-core/src/placement/placement_reason.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Reason for a [`PlacementOrder`].
+/// Why a [`PlacementOrder`] is given, with the figures for its log line.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum PlacementReason {
     /// The smoothed demand exceeds the share of the replicas' capacity that they should serve.
@@ -8,7 +8,7 @@
     Demand {
         /// Smoothed demand in tokens per second.
         demand: Tokens,
-        /// Number of replicas before the order.
+        /// Number of replicas that were loaded or being loaded before the order.
         replicas: usize,
     },
     /// A retired replica runs no more requests.
@@ -19,13 +19,14 @@
     Floor {
         /// Smallest number of replicas, see [`ModelRequirements::floor`].
         floor: usize,
-        /// Number of replicas before the order.
+        /// Number of replicas that were loaded or being loaded before the order.
         replicas: usize,
     },
-    /// The replica's engine is leaving, and replicas on other engines carry the model.
+    /// The replica's engine is leaving, and other engines have at least as many replicas as the
+    /// model should have.
     #[display("engine leaves, {replicas} replicas elsewhere")]
     Leaving {
-        /// Number of warm replicas on other engines.
+        /// Number of loaded replicas on other engines that take requests.
         replicas: usize,
     },
     /// The replica's memory is needed for a model below its floor.
@@ -39,7 +40,7 @@
     Surplus {
         /// Smoothed demand in tokens per second.
         demand: Tokens,
-        /// Number of replicas before the order.
+        /// Number of loaded replicas that took requests before the order.
         replicas: usize,
     },
 }
--- a/crates/ebonystand-core/src/placement/placement_view.rs
+++ b/crates/ebonystand-core/src/placement/placement_view.rs
@@ -64,7 +64,8 @@
         lacking
     }
 
-    /// Most urgent model below its floor for which no engine has enough memory.
+    /// Returns the most urgent model below its floor that no engine can load, as decided by
+    /// [`Self::find_engine_for`].
     pub(crate) fn starved_model(&self) -> Option<ReplicaCount<'a>> {
         self.lacking_models()
             .into_iter()
@@ -115,7 +116,8 @@
         self.now.saturating_sub(engine.reported_at) <= self.state.settings.stale
     }
 
-    /// A replica on a leaving engine, once the other engines carry the model without it.
+    /// Returns a replica on a leaving engine if the replicas on other engines that take requests
+    /// are at least as many as the model should have, and at least one.
     fn find_leaving_replica(
         &self,
         count: &ReplicaCount<'a>,
--- a/crates/ebonystand-core/src/placement/state.rs
+++ b/crates/ebonystand-core/src/placement/state.rs
@@ -19,7 +19,8 @@
 }
 
 impl PlacementController {
-    /// Factor on a model's transfer time from the store after which its load counts as failed.
+    /// A load counts as failed after this multiple of the model's transfer time from the store,
+    /// plus the settings' stale time.
     pub const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
     /// Creates a controller that starts at `now`.
--- a/crates/ebonystand-core/src/quarantine/outgoing_quarantine_message.rs
+++ b/crates/ebonystand-core/src/quarantine/outgoing_quarantine_message.rs
@@ -4,7 +4,7 @@
 /// duplication.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct OutgoingQuarantineMessage {
-    /// Message to send.
+    /// Request, reply or announcement of this VM's [`Quarantine`].
     pub message: QuarantineMessage,
     /// VM that receives the message.
     pub to: VmId,
--- a/crates/ebonystand-core/src/quarantine/quarantine_message.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_message.rs
@@ -26,7 +26,8 @@
     Crashed {
         /// Fingerprint of the request that was running.
         fingerprint: Fingerprint,
-        /// Whether other runs of the request are in progress on the sender.
+        /// Whether other runs of the request are in progress on the sender, or have crashed without
+        /// the owner's confirmation.
         is_running: bool,
         /// Run that ended with the crash.
         run: RunId,
@@ -37,7 +38,8 @@
     Ended {
         /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Whether other runs of the request are in progress on the sender.
+        /// Whether other runs of the request are in progress on the sender, or have crashed without
+        /// the owner's confirmation.
         is_running: bool,
         /// Run that ended.
         run: RunId,
@@ -67,7 +69,8 @@
     Acknowledged {
         /// Fingerprint of the suspect request.
         fingerprint: Fingerprint,
-        /// Whether runs of the request are in progress on the sender.
+        /// Whether runs of the request are in progress on the sender, or have crashed without the
+        /// owner's confirmation.
         is_running: bool,
     },
 }
--- a/crates/ebonystand-core/src/quarantine/quarantine_output.rs
+++ b/crates/ebonystand-core/src/quarantine/quarantine_output.rs
@@ -5,7 +5,8 @@
 pub struct QuarantineOutput {
     /// Replies to permit requests of this VM.
     pub permit_answers: Vec<PermitAnswer>,
-    /// Runs whose crash report every reachable VM knows by now. Their callers may be answered.
+    /// Runs whose end the owner has confirmed. After a crash, every reachable VM knows of it by
+    /// then, so the caller may be answered.
     pub recorded_runs: Vec<RunId>,
     /// Messages to send to other VMs.
     pub messages: Vec<OutgoingQuarantineMessage>,
--- a/crates/ebonystand-core/src/quarantine/state.rs
+++ b/crates/ebonystand-core/src/quarantine/state.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Allocates the id of a new run.
+    /// Returns a run id that this VM has not used before.
     pub fn allocate_run(&mut self) -> RunId {
         self.next_run += 1;
         self.next_run
@@ -167,7 +167,8 @@
         })
     }
 
-    /// Announces the suspects that this VM owns to a VM that has restarted and lost its memory.
+    /// Announces the suspects that this VM owns to a VM that has restarted and therefore knows of
+    /// none of them.
     pub fn handle_restart(&mut self, now: Duration, vm: &VmId) -> QuarantineOutput {
         let mut output = QuarantineOutput::default();
         self.suspects.announce_to_restarted(now, vm, &mut output);
--- a/crates/ebonystand-core/src/replica/replica_input.rs
+++ b/crates/ebonystand-core/src/replica/replica_input.rs
@@ -5,16 +5,16 @@
 pub enum ReplicaInput {
     /// Request to change a member. [`ReplicaOutput::ProposalDone`] reports the result.
     ChangeMembers {
-        /// Requested change.
+        /// Member to admit, promote or remove.
         change: MemberChange,
-        /// Proposer's number for the request.
+        /// Number that the proposer assigned to the request. The report of the result carries it.
         id: ProposalId,
     },
     /// Message received from another replica.
     Message {
         /// Replica that sent the message.
         from: MemberId,
-        /// Received message.
+        /// Message with its term and the incarnation that it is meant for.
         message: ReplicaMessage,
     },
     /// Report that all batches of records up to `token` are synced to disk.
@@ -26,13 +26,13 @@
     Propose {
         /// Command for the state machine.
         command: Bytes,
-        /// Proposer's number for the request.
+        /// Number that the proposer assigned to the request. The report of the result carries it.
         id: ProposalId,
     },
     /// Request for a linearizable read: the read must see every command acknowledged so far.
     /// [`ReplicaOutput::ReadBarrierDone`] reports the result.
     ReadBarrier {
-        /// Reader's number for the request.
+        /// Number that the reader assigned to the request. The report of the result carries it.
         id: ProposalId,
     },
     /// Snapshot of the state machine, in response to [`ReplicaOutput::TakeSnapshot`].
--- a/crates/ebonystand-core/src/replica/replica_leader.rs
+++ b/crates/ebonystand-core/src/replica/replica_leader.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Sends each other replica the entries that it lacks, or a heartbeat.
+    /// Sends each other replica the next entries or snapshot chunk that it lacks, or else a
+    /// heartbeat, and schedules the next heartbeat.
     pub(crate) fn send_heartbeats(&mut self) {
         self.next_tick = self.now + self.cfg.heartbeat_interval;
         let peers: Vec<_> = self.progress.keys().cloned().collect();
--- a/crates/ebonystand-core/src/replica/replica_log.rs
+++ b/crates/ebonystand-core/src/replica/replica_log.rs
@@ -109,8 +109,8 @@
         self.memberships.insert(index, members);
     }
 
-    /// Returns entries from index `first` on. They contain at most `max_bytes` of commands, but at least
-    /// one entry is returned if there is one.
+    /// Returns entries from index `first` on. They contain at most `max_bytes` of commands, but at
+    /// least one entry is returned if there is one.
     pub(crate) fn entries_from(&self, first: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
         let mut bytes_left = max_bytes;
         let mut entries = Vec::new();
--- a/crates/ebonystand-core/src/replica/replica_members.rs
+++ b/crates/ebonystand-core/src/replica/replica_members.rs
@@ -92,7 +92,9 @@
         }
     }
 
-    /// Removes a replaced or surplus voter, or promotes a learner that has caught up.
+    /// Appends at most one change of members. A voter is removed if it is silent and another
+    /// incarnation on its VM, which still answers, is a voter too, or if it is lost and the group
+    /// has more voters than it needs. Otherwise a learner is promoted if it may become a voter.
     pub(crate) fn advance_membership(&mut self) {
         if !self.can_change_members() {
             return;
--- a/crates/ebonystand-core/src/replica/replica_message.rs
+++ b/crates/ebonystand-core/src/replica/replica_message.rs
@@ -3,7 +3,7 @@
 /// A message between two replicas of a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaMessage {
-    /// Content of the message.
+    /// Request, reply or data that the message carries.
     pub body: ReplicaMessageBody,
     /// Term of the sender. In a pre-vote and in a granted reply to one, it is the term that the
     /// election would start.
--- a/crates/ebonystand-core/src/replica/replica_message_body.rs
+++ b/crates/ebonystand-core/src/replica/replica_message_body.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Content of a [`ReplicaMessage`].
+/// Request, reply or data that a [`ReplicaMessage`] carries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ReplicaMessageBody {
     /// Entries from a leader; without entries, a heartbeat.
--- a/crates/ebonystand-core/src/replica/replica_role.rs
+++ b/crates/ebonystand-core/src/replica/replica_role.rs
@@ -6,7 +6,7 @@
     /// Requests votes in an election.
     #[display("candidate")]
     Candidate,
-    /// Follows a leader, or waits for one.
+    /// Accepts entries from the leader, or knows of no leader yet.
     #[display("follower")]
     Follower,
     /// Appends entries to the log, replicates and commits them.
--- a/crates/ebonystand-core/src/replica/replica_status.rs
+++ b/crates/ebonystand-core/src/replica/replica_status.rs
@@ -16,10 +16,10 @@
     pub lease_until: Option<Duration>,
     /// Membership set by the newest entry of the log.
     pub members: Membership,
-    /// Current role.
+    /// Role of the replica in its term.
     pub role: ReplicaRole,
     /// Index of the last entry that the snapshot contains; 0 without a snapshot.
     pub snapshot_index: LogIndex,
-    /// Current term.
+    /// Term that the replica is in. It never decreases.
     pub term: Term,
 }
--- a/crates/ebonystand-core/src/replica/state.rs
+++ b/crates/ebonystand-core/src/replica/state.rs
@@ -1,8 +1,7 @@
 //! State of a replica of a Raft group. It performs no I/O.
 //!
 //! A driver passes each event to [`Replica::step`] and carries out the returned outputs in order.
-//! It
-//! passes [`ReplicaInput::Tick`] once [`Replica::deadline`] has come.
+//! It passes [`ReplicaInput::Tick`] once [`Replica::deadline`] has come.
 //!
 //! - **Durability.** `Persist` returns records. Once they are synced, the driver passes `Persisted`
 //!   with the same token. Until then the replica itself holds back each message that promises these
@@ -292,7 +291,9 @@
         }
     }
 
-    /// Collects the step's records into a batch and releases messages that need no sync.
+    /// Ends a step: returns its outputs, with its records as one batch. The messages that the step
+    /// held back wait until the newest unsynced batch is synced, and are sent at once if there is
+    /// none.
     fn finish_step(&mut self) -> Vec<ReplicaOutput> {
         let mut held = std::mem::take(&mut self.deferred);
         if !self.records.is_empty() {
@@ -341,7 +342,8 @@
         self.handle_body(from, message.term, message.body);
     }
 
-    /// Sends a message whose records are synced. This replica's own vote is processed directly.
+    /// Sends a message after the records that it promises were synced. This replica's vote for
+    /// itself is processed directly, without the network.
     fn send_deferred(&mut self, held: DeferredMessage) {
         if held.to == self.cfg.id {
             self.handle_body(&held.to, held.term, held.body);
