--- a/crates/ebonystand-core/src/ask_id.rs
+++ b/crates/ebonystand-core/src/ask_id.rs
@@ -6,6 +6,6 @@
 pub struct AskId {
     /// Start of the VM that sent the ask or claim.
     pub incarnation: Incarnation,
-    /// Number within that start, larger than all before.
+    /// Number of the ask or claim since the VM's start, larger than that of each earlier one.
     pub sequence: u64,
 }
--- a/crates/ebonystand-core/src/backlog.rs
+++ b/crates/ebonystand-core/src/backlog.rs
@@ -22,8 +22,8 @@
     const BURST_TOKENS: Tokens = 8_000;
 
     /// Whether the workspace may start a request. A burst may take a reserved slot only while it
-    /// holds less than half of its equal share. Without this exception it could starve behind many
-    /// workspaces without a burst.
+    /// holds less than half of its equal share. Without this exception the workspace could wait
+    /// without end behind many workspaces that have no burst.
     pub(crate) fn can_start(&self, is_only_reserve_left: bool, half_share: u32) -> bool {
         !is_only_reserve_left || self.queued <= Self::BURST_TOKENS || self.running < half_share
     }
--- a/crates/ebonystand-core/src/change.rs
+++ b/crates/ebonystand-core/src/change.rs
@@ -10,7 +10,7 @@
         /// New document, whose version is ignored.
         document: Box<Document>,
     },
-    /// Adds a key.
+    /// Adds a key by which callers authenticate.
     GiveKey {
         /// Name of the key, which must not have been used before.
         id: KeyId,
@@ -43,7 +43,7 @@
     PutUpstream {
         /// Name of the upstream to add or replace.
         id: UpstreamId,
-        /// Address, place and kind of the upstream.
+        /// Complete settings of the upstream; none of an existing upstream's settings are kept.
         upstream: Upstream,
     },
     /// Adds or replaces a workspace.
--- a/crates/ebonystand-core/src/dispatch_end.rs
+++ b/crates/ebonystand-core/src/dispatch_end.rs
@@ -8,7 +8,8 @@
         /// Time from the dispatch to the first byte of the answer.
         first_token: Duration,
     },
-    /// The caller left, or the gateway cancelled the dispatch. It says nothing about the upstream.
+    /// The caller left, or the gateway cancelled the dispatch. Such an end says nothing about the
+    /// state of the upstream.
     Cancelled,
     /// The connection was refused, reset or truncated, or the upstream answered with an error.
     Failed,
--- a/crates/ebonystand-core/src/document/document_change.rs
+++ b/crates/ebonystand-core/src/document/document_change.rs
@@ -7,8 +7,9 @@
 impl Document {
     /// Applies a change that has been accepted.
     ///
-    /// An entry to be removed or changed that is absent is ignored: a copy that was transferred in
-    /// parts may already lack an entry that a later change of the same series removes.
+    /// A change or removal of an absent entry is ignored. A copy in parts is completed by the
+    /// changes since its first part, and a later part may already lack an entry that one of these
+    /// changes removes.
     pub fn apply(&mut self, accepted: &AcceptedChange) {
         self.version = accepted.version;
         match &accepted.change {
@@ -105,7 +106,9 @@
         }
     }
 
-    /// Returns whether `change` leaves the document as it is, so that it needs no new version.
+    /// Returns whether `change` is known to leave the document as it is, so that it needs no new
+    /// version. Only changes of the routing and of evacuated zones are compared with the document;
+    /// any other change gets a new version.
     #[must_use]
     pub fn is_no_op(&self, change: &Change) -> bool {
         match change {
@@ -141,14 +144,16 @@
         self.routing = routing.clone();
     }
 
-    /// Replaces the document with `document`, except for what [`Document::merged_with`] keeps.
+    /// Replaces the document with `document`, but keeps the version, the keys in force, the
+    /// evacuated zones, and the routing unless the new one has a higher revision.
     fn replace_with(&mut self, document: &Document) {
         let version = self.version;
         *self = self.merged_with(document);
         self.version = version;
     }
 
-    /// Returns `document` with the keys in force added. A key in force keeps its secret and its
+    /// Returns `document` with the keys and evacuated zones in force added, and with the routing in
+    /// force unless its own has a higher revision. A key in force keeps its secret and its
     /// workspace, and a withdrawn key stays withdrawn; otherwise an old file would restore it.
     fn merged_with(&self, document: &Document) -> Self {
         let mut next = document.clone();
--- a/crates/ebonystand-core/src/document/document_copy.rs
+++ b/crates/ebonystand-core/src/document/document_copy.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns the version of the first part. A peer that no longer holds all changes since then
-    /// answers a request for them with a first part, and the copy starts anew.
+    /// answers a request for them with a first part, which starts a new copy.
     pub(crate) fn base_version(&self) -> Version {
         self.base_version
     }
--- a/crates/ebonystand-core/src/document/document_part.rs
+++ b/crates/ebonystand-core/src/document/document_part.rs
@@ -3,7 +3,7 @@
 /// Consecutive entries of a [`Document`], sent as one message, with the fields that are not maps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DocumentPart {
-    /// Position that the entries follow.
+    /// Position in the document after which the part's entries start.
     pub cursor: DocumentCursor,
     /// [`Document::evacuated`] at the part's version.
     pub evacuated: BTreeSet<ZoneId>,
--- a/crates/ebonystand-core/src/document/document_section.rs
+++ b/crates/ebonystand-core/src/document/document_section.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Map of a [`Document`], ordered as the maps are copied.
+/// One of the maps of a [`Document`]. The variants are in the order in which the maps are copied.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum DocumentSection {
     /// Entries of [`Document::keys`].
--- a/crates/ebonystand-core/src/drain_status.rs
+++ b/crates/ebonystand-core/src/drain_status.rs
@@ -5,6 +5,6 @@
 pub struct DrainStatus {
     /// Number of open requests that the VM finishes before it stops.
     pub in_flight: u64,
-    /// Name of the VM.
+    /// Name of the VM that drains.
     pub vm: VmId,
 }
--- a/crates/ebonystand-core/src/feed.rs
+++ b/crates/ebonystand-core/src/feed.rs
@@ -59,7 +59,7 @@
 
 impl Feed {
     /// Number of peers that a VM tells of a version whose changes they have to pull. With four, two
-    /// in a hundred VMs were told by none and heard of it only by gossip, seconds later.
+    /// in a hundred VMs are told by none and hear of it only by gossip, seconds later.
     pub const ANNOUNCE_FAN_OUT: usize = 8;
     /// Number of peers that a VM pushes a change to.
     pub const FAN_OUT: usize = 4;
@@ -448,8 +448,8 @@
             copy.add_part(part);
         }
         // A peer older than the first part cannot continue this copy, and asking it for the same
-        // part would repeat without end. The copy is dropped, and the next pull starts anew with
-        // what there is.
+        // part would repeat without end. The copy is dropped, and the next pull starts a new one
+        // from the version that its peer has.
         self.copy.take_if(|copy| version < copy.base_version());
         self.install_if_complete(outputs);
         self.record_peer_version(now, from, version, None, outputs);
--- a/crates/ebonystand-core/src/fenced_role.rs
+++ b/crates/ebonystand-core/src/fenced_role.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Updates the view from the registry as applied on this VM. Call it when the registry has
-    /// changed.
+    /// Updates this VM's view of the role from the registry that results from the commands applied
+    /// on this VM. Call it when the registry has changed.
     pub fn observe_registry(&mut self, now: Duration, registry: &FenceRegistry) {
         let seen = registry
             .get(&self.role)
--- a/crates/ebonystand-core/src/fleet_load_factor.rs
+++ b/crates/ebonystand-core/src/fleet_load_factor.rs
@@ -6,7 +6,8 @@
 /// do the same.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetLoadFactor {
-    /// Factor with a smaller exponent, for [`Self::cautious_factor`].
+    /// Value of [`Self::cautious_factor`], which is the factor raised to
+    /// [`Self::CAUTIOUS_EXPONENT`].
     cautious: f64,
     factor: f64,
     /// Decayed sum of this VM's requests in flight at the reporting upstreams.
@@ -28,8 +29,8 @@
     /// Factor for decisions that are costly if the estimate is too high: sending a request to
     /// another region or refusing it.
     ///
-    /// A VM's own dispatches are few and uneven: with the full factor, one request in six was sent
-    /// away under ordinary load.
+    /// A VM's own dispatches are few and uneven: with the full factor, one request in six is sent
+    /// to another region under ordinary load.
     pub(crate) fn cautious_factor(&self) -> f64 {
         self.cautious
     }
--- a/crates/ebonystand-core/src/in_flight_order.rs
+++ b/crates/ebonystand-core/src/in_flight_order.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Token of an order that may be on its way to an upstream.
+/// Proof that an order's permit has been redeemed, so that the order may be on its way to an
+/// upstream.
 #[derive(Debug)]
 #[must_use = "an order whose outcome is not recorded stays unknown for ever"]
 pub struct InFlightOrder {
--- a/crates/ebonystand-core/src/lease_id.rs
+++ b/crates/ebonystand-core/src/lease_id.rs
@@ -5,6 +5,6 @@
 pub struct LeaseId {
     /// Start of the VM that made the lease or grant.
     pub incarnation: Incarnation,
-    /// Number within that start.
+    /// Number of the lease or grant since the VM's start.
     pub sequence: u64,
 }
--- a/crates/ebonystand-core/src/lease_terms.rs
+++ b/crates/ebonystand-core/src/lease_terms.rs
@@ -46,8 +46,8 @@
     /// Time allowed for an answer on top of the links' delays.
     pub(crate) const ANSWER_MARGIN: Duration = Duration::from_millis(20);
     /// Time without a request after which a workspace returns its leases and is dropped from
-    /// memory. Well within [`Self::BORROWER_TERM`], since the tokens of a lease that expires are
-    /// lost.
+    /// memory. It is well below [`Self::BORROWER_TERM`], since the tokens of a lease that expires
+    /// are lost.
     pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
     /// Number of leases of one workspace on one VM above which it returns them and asks for a
     /// single one.
--- a/crates/ebonystand-core/src/link_budget.rs
+++ b/crates/ebonystand-core/src/link_budget.rs
@@ -4,8 +4,8 @@
 /// that holds one second of the VM's share of the link. Less urgent traffic classes must leave part
 /// of it unused.
 ///
-/// Without these reserves a snapshot or a KV cache would fill a link of a hundred megabits and
-/// delay the heartbeats behind it, so that the region would count as lost.
+/// Without these reserves a snapshot or a KV cache would fill a link of a hundred megabits per
+/// second and delay the heartbeats behind it, so that the region would count as lost.
 #[derive(Clone, Debug)]
 pub struct LinkBudget {
     /// This VM's share of the bandwidth, in bytes per second.
--- a/crates/ebonystand-core/src/link_budgets.rs
+++ b/crates/ebonystand-core/src/link_budgets.rs
@@ -45,7 +45,7 @@
         self.budgets.get(region as usize)?.1.as_ref()
     }
 
-    /// Like [`Self::get`], mutable.
+    /// Returns the same budget as [`Self::get`], for modification.
     pub(crate) fn get_mut(&mut self, region: u32) -> Option<&mut LinkBudget> {
         self.budgets.get_mut(region as usize)?.1.as_mut()
     }
--- a/crates/ebonystand-core/src/membership/membership_body.rs
+++ b/crates/ebonystand-core/src/membership/membership_body.rs
@@ -11,7 +11,8 @@
         /// Address of the VM that started an indirect probe; the receiver forwards the answer to
         /// it.
         relay: Option<SocketAddr>,
-        /// `sent_ms` of the ping that this message answers, in milliseconds.
+        /// Time of the probe that this message answers, on the prober's clock, in milliseconds. It
+        /// is copied from the ping.
         sent_ms: u64,
         /// VM that answers.
         vm: VmId,
@@ -28,7 +29,7 @@
     },
     /// Asks the receiver to ping a VM that did not answer the sender in time.
     PingRequest {
-        /// Time of the sender's unanswered probe on its clock, in milliseconds.
+        /// Time of the sender's unanswered probe on the sender's clock, in milliseconds.
         sent_ms: u64,
         /// Address of the VM that did not answer.
         target: SocketAddr,
--- a/crates/ebonystand-core/src/membership/membership_message.rs
+++ b/crates/ebonystand-core/src/membership/membership_message.rs
@@ -61,7 +61,7 @@
 
     /// Returns an upper bound of the encoded length in bytes.
     pub(crate) fn max_encoded_len(&self) -> usize {
-        /// Encoded lengths of the lists `contacts` and `updates`, two bytes each.
+        /// Bytes that encode the numbers of entries of `contacts` and `updates`, two for each list.
         const LENGTH_PREFIXES: usize = 4;
         LENGTH_PREFIXES
             + self.body.max_encoded_len()
--- a/crates/ebonystand-core/src/membership/membership_view.rs
+++ b/crates/ebonystand-core/src/membership/membership_view.rs
@@ -223,8 +223,8 @@
     }
 
     /// Pings suspects of the local region and tells them of the suspicion, so that they can refute
-    /// it directly to this VM. With gossip alone, the loss of one datagram in ten delayed a
-    /// refutation beyond the timeout, and a VM that answers was declared dead.
+    /// it directly to this VM. With gossip alone, the loss of one datagram in ten delays a
+    /// refutation beyond the timeout, and a VM that answers is declared dead.
     pub(crate) fn ping_suspects(&mut self, now: Duration, outputs: &mut Vec<MembershipOutput>) {
         const MAX_SUSPECTS: usize = 16;
         let suspects: Vec<_> = self
--- a/crates/ebonystand-core/src/open_ask.rs
+++ b/crates/ebonystand-core/src/open_ask.rs
@@ -4,8 +4,7 @@
 #[derive(Debug)]
 pub(crate) struct OpenAsk {
     pub(crate) asked_at: Duration,
-    /// Time until which waiting claims wait for the answer; already past for an ask that
-    /// prefetches.
+    /// Time until which claims wait for the answer; already past for an ask that prefetches.
     pub(crate) awaited_until: Duration,
     pub(crate) sequence: u64,
     /// Holder that was asked.
--- a/crates/ebonystand-core/src/preset.rs
+++ b/crates/ebonystand-core/src/preset.rs
@@ -14,8 +14,8 @@
     /// Time in milliseconds after which an upstream that has sent nothing of its answer is given
     /// up.
     pub first_byte_ms: u64,
-    /// Maximum number of retries that a VM adds, in thousandths of the requests of the last
-    /// seconds.
+    /// Maximum number of retries that a VM adds, in thousandths of its requests in the last
+    /// [`RetryBudget::WINDOW`].
     pub retry_budget_permille: u64,
     /// Predicted gain in milliseconds below which a request is not sent to another region.
     pub send_away_gain_ms: u64,
--- a/crates/ebonystand-core/src/retry_budget.rs
+++ b/crates/ebonystand-core/src/retry_budget.rs
@@ -2,8 +2,8 @@
 
 /// Limit on the retries of one VM, as a share of its recent requests.
 ///
-/// When many upstreams fail at once, each failed request would otherwise come back as several, and
-/// the remaining upstreams would be flooded with retries that fail again.
+/// When many upstreams fail at once, each failed request would otherwise cause several retries, and
+/// the remaining upstreams would be overloaded by retries that fail again.
 ///
 /// The limit holds in any span of [`Self::WINDOW`], wherever it begins. Counted in two alternating
 /// windows, retries at the end of one window and at the beginning of the next but one could add up
--- a/crates/ebonystand-core/src/scored_upstream.rs
+++ b/crates/ebonystand-core/src/scored_upstream.rs
@@ -3,8 +3,9 @@
 /// Upstream that a routing decision considers, with its predicted time and its score.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScoredUpstream {
-    /// Predicted time to first token in milliseconds, under the cautious estimate of the requests
-    /// that the whole fleet has sent since the last report.
+    /// Predicted time to first token in milliseconds, by which a request is refused or sent to
+    /// another region. It assumes fewer requests of other VMs since the upstream's last report than
+    /// `predicted_ms` does, see [`FleetLoadFactor::cautious_factor`].
     pub(crate) cautious_ms: f64,
     /// Cost of the upstream in milliseconds, weighted by the preset.
     pub(crate) cost_ms: f64,
@@ -15,8 +16,8 @@
     /// Random part of the score in milliseconds. Without it, all VMs see the same reports and send
     /// their next requests to the same upstream before a report shows it.
     pub(crate) jitter_ms: f64,
-    /// Predicted time to first token in milliseconds, under the full estimate of the fleet's
-    /// requests.
+    /// Predicted time to first token in milliseconds. The requests that the whole fleet has sent
+    /// since the upstream's last report are estimated with [`FleetLoadFactor::factor`].
     pub(crate) predicted_ms: f64,
     pub(crate) reason: RouteReason,
 }
--- a/crates/ebonystand-core/src/sent_parts.rs
+++ b/crates/ebonystand-core/src/sent_parts.rs
@@ -15,8 +15,8 @@
     const CAPACITY: usize = 64;
     /// Time after which a part that is requested again counts as lost.
     const RESEND_AFTER: Duration = Duration::from_secs(6);
-    /// Time after which a first part counts as lost. It is shorter, since a VM that has restarted
-    /// asks for the first part too.
+    /// Time after which the first part of a document counts as lost. It is shorter than
+    /// [`Self::RESEND_AFTER`], since a VM that has restarted asks for the first part too.
     const FIRST_RESEND_AFTER: Duration = Duration::from_secs(2);
 
     /// Returns whether a part may be sent to `to` now, and records it as sent if so.
--- a/crates/ebonystand-core/src/slack_entry.rs
+++ b/crates/ebonystand-core/src/slack_entry.rs
@@ -6,6 +6,6 @@
 pub(crate) struct SlackEntry {
     /// Mark of the oldest reservation that the entry covers.
     pub(crate) first_mark: u64,
-    /// Lowest slack since then, in micro-tokens.
+    /// Lowest slack of the bucket since the reservation at `first_mark`, in micro-tokens.
     pub(crate) slack: MicroTokens,
 }
--- a/crates/ebonystand-core/src/slack_history.rs
+++ b/crates/ebonystand-core/src/slack_history.rs
@@ -8,8 +8,8 @@
 /// bucket had to discard would count twice, and a window would see more than burst + rate × time.
 #[derive(Debug)]
 pub(crate) struct SlackHistory {
-    /// Entries sorted by mark. The slack rises strictly, since a later reservation has seen less of
-    /// the past.
+    /// Entries sorted by mark. The slack rises strictly from entry to entry, since the entry of a
+    /// later reservation holds the lowest slack over a shorter time.
     entries: Vec<SlackEntry>,
 }
 
--- a/crates/ebonystand-core/src/token_bucket.rs
+++ b/crates/ebonystand-core/src/token_bucket.rs
@@ -5,7 +5,7 @@
 pub(crate) struct TokenBucket {
     /// Time up to which tokens have accrued.
     updated_at: Duration,
-    /// Tokens held at `updated_at`.
+    /// Content of the bucket in micro-tokens at the time `updated_at`.
     level: MicroTokens,
     /// Granted tokens that may still be spent; they count against the capacity.
     locked: MicroTokens,
--- a/crates/ebonystand-core/src/traffic_class.rs
+++ b/crates/ebonystand-core/src/traffic_class.rs
@@ -6,7 +6,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum TrafficClass {
-    /// Consensus, configuration, allowance and membership.
+    /// Messages of consensus, configuration, allowance and membership.
     #[display("control")]
     Control,
     /// Requests and their answers.
--- a/crates/ebonystand-core/src/unsent_order.rs
+++ b/crates/ebonystand-core/src/unsent_order.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Token of a granted order that its holder hasn't sent and will never send.
+/// Proof that the holder of a granted order hasn't sent it and will never send it.
 #[derive(Debug)]
 #[must_use = "an order that is not abandoned stays unknown for ever"]
 pub struct UnsentOrder {
