--- a/crates/ebonystand-fakes/src/engine.rs
+++ b/crates/ebonystand-fakes/src/engine.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Fake model engine that answers each completion with a fixed number of numbered tokens, streamed or
-/// whole.
+/// Fake model engine that answers each completion request with as many numbered tokens as the request
+/// allows, streamed or whole.
 #[derive(Clone)]
 pub struct Engine {
     control: Control,
@@ -33,7 +33,8 @@
     }
 }
 
-/// Guard that counts a request as running, and as cancelled if it is dropped before the answer is complete.
+/// Guard that counts a request as running until it is dropped, and as cancelled if it is dropped before the
+/// completion is whole, which includes requests that a fault answers with an error.
 struct RunningRequest {
     is_finished: bool,
     engine: Engine,
--- a/crates/ebonystand-fakes/src/registry.rs
+++ b/crates/ebonystand-fakes/src/registry.rs
@@ -6,7 +6,7 @@
     control: Control,
 }
 
-/// Answer to a `POST` call.
+/// Answer to a `POST` call, with the number issued by the call.
 #[derive(Serialize)]
 struct Issued {
     number: u64,
--- a/crates/ebonystand-fakes/src/seen.rs
+++ b/crates/ebonystand-fakes/src/seen.rs
@@ -5,9 +5,11 @@
 pub struct Seen {
     /// Number of requests with an `authorization` header, which the gateway must not pass on.
     pub credentials: u64,
-    /// Number of requests that ended before their answer was complete.
+    /// Number of completion requests that ended before the completion was whole, because the caller
+    /// disconnected or by a fault of the engine. A [`Registry`] counts none.
     pub cancelled: u64,
-    /// Number of requests that started to run.
+    /// Number of requests received, also malformed ones, but not those to the control paths, for the load
+    /// report or to unknown paths.
     pub requests: u64,
     /// Number of runs of each request body.
     pub runs: BTreeMap<Box<str>, u64>,
@@ -16,7 +18,7 @@
 }
 
 impl Seen {
-    /// Counts a request that starts to run.
+    /// Counts a request before its body is decoded, so that a malformed one counts too.
     pub(crate) fn record(&mut self, req: &Request, body: &Bytes) {
         let headers = req.headers();
         self.requests += 1;
--- a/crates/ebonystand-wire/src/payload.rs
+++ b/crates/ebonystand-wire/src/payload.rs
@@ -25,7 +25,7 @@
         match payload {
             [Self::PLAIN_FORMAT, message @ ..] => Self::decode_message(message),
             [Self::COMPRESSED_FORMAT, compressed @ ..] => {
-                // Decompression allocates the declared length, so that the length must be checked first.
+                // Decompression allocates the declared length, which must therefore be checked first.
                 let (len, _) = lz4_flex::block::uncompressed_size(compressed)
                     .map_err(|source| Error::Decompress { source })?;
                 if len > FrameReader::MAX_PAYLOAD {
--- a/crates/ebonystand-wire/src/peer_message.rs
+++ b/crates/ebonystand-wire/src/peer_message.rs
@@ -14,9 +14,10 @@
         /// Time of the question on the sender's clock, in microseconds; the answer repeats it.
         asked_us: u64,
     },
-    /// Answers [`Self::Confirm`].
+    /// Answers [`Self::Confirm`] with the version of the configuration that the sender uses.
     Confirmed {
-        /// `asked_us` of the question.
+        /// Time of the question on the clock of the VM that asked, in microseconds; copied from
+        /// [`Self::Confirm`].
         asked_us: u64,
         /// Whether the answering VM leads the replicated log and holds a read lease, so that no other VM
         /// can have accepted a newer version.
@@ -57,9 +58,9 @@
         /// Identifier of the proposal, which the answer repeats.
         id: u64,
     },
-    /// Answers [`Self::Propose`].
+    /// Answers [`Self::Propose`] with the result of proposing the command.
     Proposed {
-        /// `id` of the proposal.
+        /// Identifier of the proposal, copied from [`Self::Propose`].
         id: u64,
         /// Result of the proposal.
         proposed: Box<Proposed>,
@@ -70,7 +71,7 @@
     Replica {
         /// Member identifier of the sending replica.
         from: MemberId,
-        /// Message to the receiving replica.
+        /// Message of the protocol that replicates the log.
         message: ReplicaMessage,
     },
 }
@@ -102,7 +103,8 @@
         )
     }
 
-    /// Returns whether this is a load message of the same kind as `load`, which then replaces it.
+    /// Returns whether this is a load message of the same kind as `load`. A queue then holds one message
+    /// merged from the two.
     pub(crate) fn is_replaced_by(&self, load: &LoadMessage) -> bool {
         matches!(self, Self::Load(older) if std::mem::discriminant(older) == std::mem::discriminant(load))
     }
--- a/crates/ebonystand-wire/src/send_queue.rs
+++ b/crates/ebonystand-wire/src/send_queue.rs
@@ -3,8 +3,8 @@
 /// Queue of messages to be sent to one VM, bounded in bytes.
 ///
 /// Without the bound, a saturated link would keep seconds of outdated messages in the memory of a small
-/// VM. A new load message replaces the queued one of the same kind, and short messages are sent before
-/// long ones.
+/// VM. A new load message is merged with the queued one of the same kind, and short messages are sent
+/// before long ones.
 #[derive(Debug, Default)]
 pub struct SendQueue {
     long: MessageQueue,
@@ -22,7 +22,7 @@
 
 impl SendQueue {
     /// Maximum length of all queued short messages in bytes; a link of 10 Mbit/s sends as many in a fifth
-    /// of a second.
+    /// of a second. A single longer message is still queued if no other short message is.
     pub const MAX_SHORT_BYTES: usize = 256 << 10;
     /// Maximum length of all queued long messages in bytes. A single longer message is still queued if no
     /// other long message is.
--- a/crates/ebonystand/src/gateway/connection.rs
+++ b/crates/ebonystand/src/gateway/connection.rs
@@ -36,7 +36,7 @@
 enum Framing {
     /// By its length or chunks, which the codec decodes.
     WithCodec(ClientPayloadCodec),
-    /// No more bytes belong to the body.
+    /// The body is complete: the answer has none, or all of it has been read.
     Complete,
     /// The body ends when the server closes the connection.
     UntilClose,
@@ -75,7 +75,7 @@
     Truncated,
 }
 
-/// Builds the head of a request. The path is sent unchanged.
+/// Builds the head of a request. The path is sent unchanged, or as `/` if it is not a valid URI.
 pub(crate) fn head(method: Method, path: &str, headers: HeaderMap) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = method;
@@ -113,8 +113,8 @@
     /// received would be a late or repeated answer, or the end of the connection; data that follows
     /// could be mistaken for the answer to the next request.
     pub(crate) fn is_reusable(&self) -> bool {
-        // A read through the runtime depends on the readiness it saw last, and misses data that has
-        // just arrived.
+        // The socket is read directly, because a read through the runtime depends on the readiness
+        // it saw last, and misses data that has just arrived.
         let peeked = recv(&self.io, &mut [0; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT);
         self.buf.is_empty() && peeked.is_err_and(|error| error == Errno::WOULDBLOCK)
     }
--- a/crates/ebonystand/src/gateway/controller.rs
+++ b/crates/ebonystand/src/gateway/controller.rs
@@ -180,7 +180,7 @@
         Some(sound[index].clone())
     }
 
-    /// Whether this VM has a configuration with routes.
+    /// Whether this VM may serve and its configuration holds a routing that an operator has set.
     pub(crate) fn has_routes(&self, node: &Node) -> bool {
         node.state.ready() && self.table.borrow().routing().revision > 0
     }
@@ -277,8 +277,9 @@
         }
     }
 
-    /// Publishes the latencies that requests can expect in this region to other regions, if this VM
-    /// is a relay, and whether callers may be directed here to all VMs, until the task is dropped.
+    /// Publishes to all VMs, periodically until the task is dropped, whether callers may be directed
+    /// to this VM. A relay that accepts forwarded requests also sends other regions the latencies
+    /// that requests can expect in this region, and the prefixes that engines here have cached.
     pub(crate) async fn run_pressure(node: Rc<Node>) {
         let this = &node.gateway;
         actix_rt::spawn(RoomQueues::run(Rc::clone(&node)));
@@ -347,7 +348,8 @@
         Rc::clone(&self.table.borrow())
     }
 
-    /// Whether a VM has left no forwarded request unanswered recently.
+    /// Whether a VM may get forwarded requests. It may not for [`Self::SUSPECT_DURATION`] after it
+    /// left one unanswered.
     fn is_sound(&self, now: Duration, vm: &VmId) -> bool {
         let suspects = self.suspects.borrow();
         suspects.get(vm).is_none_or(|until| now >= *until)
@@ -389,7 +391,7 @@
         }
     }
 
-    /// Returns the relays of each other region that has any.
+    /// Returns the relays of each other region; regions without a relay are left out.
     fn relays_of_other_regions(&self, node: &Node) -> BTreeMap<RegionId, Vec<VmId>> {
         let live = node.membership.live(node.clock.now());
         let others = live.iter().filter(|entry| entry.record.takes_callers);
--- a/crates/ebonystand/src/gateway/forwarders.rs
+++ b/crates/ebonystand/src/gateway/forwarders.rs
@@ -25,7 +25,8 @@
 }
 
 impl Forwarders {
-    /// Selects the forwarders from `live` for a VM of the region `here`.
+    /// Selects from `live` the VMs outside the region `here` that accept forwarded requests and take
+    /// callers.
     pub(crate) fn new(live: Rc<[VmEntry]>, here: &str) -> Self {
         let mut regions = BTreeMap::<RegionId, RegionForwarders>::new();
         for VmEntry { record, .. } in live.iter() {
--- a/crates/ebonystand/src/gateway/outgoing_call.rs
+++ b/crates/ebonystand/src/gateway/outgoing_call.rs
@@ -10,7 +10,7 @@
     pub instance: &'a str,
     /// Time left until the whole answer is due.
     pub left: Duration,
-    /// Rank of the request; 0 is served first.
+    /// Priority rank of the request; 0 is served first.
     pub rank: u8,
     /// Whether the request has a prompt. Engines order such requests by rank.
     pub has_prompt: bool,
--- a/crates/ebonystand/src/gateway/serve_call.rs
+++ b/crates/ebonystand/src/gateway/serve_call.rs
@@ -15,8 +15,8 @@
 /// another region takes two round trips and some processing. Beyond this minimum, a request waits
 /// for a quarter of its first-byte target at most.
 const MIN_ALLOWANCE_WAIT: Duration = Duration::from_millis(250);
-/// Retry delay for callers of a VM that can't confirm that its configuration is the newest. The VM
-/// can ask for a confirmation several times meanwhile.
+/// Retry delay for callers of a VM that can't confirm that its configuration is the newest, and for
+/// other refusals without a delay of their own. The VM asks for a confirmation again in this time.
 pub(crate) const UNCONFIRMED_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of whether a starting VM can serve.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -191,10 +191,10 @@
 
 /// Waits until a VM that has just started can serve, and returns the body if it was read for that.
 ///
-/// When all VMs started together, callers retried before the fleet could serve and were refused
-/// again, because a start takes longer than the third of their time that they may wait before a
-/// retry. Holding their requests gives them late answers instead of refusals. During the two
-/// seconds of such a start, a region has no other VM that could answer them.
+/// When all VMs start together, a region has no other VM that could answer during the two seconds
+/// of the start. A start takes longer than the third of their time that callers may wait before a
+/// retry, so a caller refused at once would be refused again. Holding the request gives the caller
+/// a late answer instead of a refusal.
 async fn wait_for_start(
     node: &Rc<Node>,
     req: &Request,
--- a/crates/ebonystandctl/src/client.rs
+++ b/crates/ebonystandctl/src/client.rs
@@ -11,8 +11,8 @@
     /// Default time to connect to a VM, and to wait for its answer, in seconds.
     pub(crate) const DEFAULT_TIMEOUT_SECONDS: u64 = 10;
 
-    /// Largest accepted size of an answer. A document of 36,000 workspaces with their keys takes
-    /// about 20 MB.
+    /// Largest accepted size of an answer, in bytes. A document of 36,000 workspaces with their keys
+    /// takes about 20 MB.
     const MAX_ANSWER_BYTES: usize = 128 << 20;
     const REQUEST_ID_BYTES: usize = 16;
 
--- a/crates/ebonystandctl/src/exit_status.rs
+++ b/crates/ebonystandctl/src/exit_status.rs
@@ -5,7 +5,8 @@
 pub enum ExitStatus {
     /// The command succeeded.
     Done = 0,
-    /// The document is invalid, or a VM refused the request; nothing changed.
+    /// A document or preset file is not the expected JSON, the document is invalid, or a VM refused
+    /// the request; nothing changed.
     Refused = 1,
     /// The command line is invalid, a file named on it cannot be read, the credential file is
     /// invalid, or the operating system supplies no random bytes; no change was sent.
